--- a/src/gateway/loads/message.rs
+++ b/src/gateway/loads/message.rs
@@ -1,4 +1,4 @@
-//! The messages about traffic.
+//! Messages about traffic, and about changes to the list of upstreams.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -10,64 +10,65 @@
 use super::super::policy::subset::Share;
 use super::own::{Held, Sent};
 
-/// What an instance tells its failure domain.
+/// The traffic of one instance, for the other instances of its failure domain.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadNews {
-    /// Who sends it.
+    /// Id of the sender.
     pub id: Arc<str>,
-    /// Its incarnation.
+    /// Incarnation of the sender.
     pub incarnation: u64,
-    /// Grows with each of its messages.
+    /// Sequence number of the message at its sender.
     pub count: u64,
-    /// Whether what it doesn't name is nothing.
+    /// Whether the sender has no load at the upstreams that are not listed here.
     pub is_whole: bool,
-    /// What it has running.
+    /// The sender's load at upstreams.
     pub held: Vec<Held>,
-    /// What it sent lately, if that changed.
+    /// The requests it sent recently, if their number changed.
     pub sent: Option<Vec<Sent>>,
-    /// What instances of its failure domain sent that have ended since.
+    /// The requests sent by instances of its failure domain that have ended since.
     pub sent_by_ended: Vec<Sent>,
-    /// Which engine read a part of a prompt.
+    /// Engines that read a prompt prefix, by the hash of the prefix.
     pub places: Vec<(u64, Arc<str>)>,
 }
 
-/// What all instances of a failure domain have, for the others.
+/// Summary of the traffic of all instances of a failure domain, for the other domains.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Digest {
     /// The failure domain.
     pub domain: Arc<str>,
-    /// What they have at upstreams where that changed lately, and at some others.
+    /// Their load at upstreams where it changed recently, and at some others.
     pub held: Vec<Held>,
-    /// What they sent lately.
+    /// The requests they sent recently.
     pub sent: Vec<Sent>,
-    /// Which engine read a part of a prompt, as far as it is new.
+    /// Engines that read a prompt prefix, as far as this is new.
     pub places: Vec<(u64, Arc<str>)>,
-    /// Whether its receiver passes it on to its failure domain.
+    /// Whether the receiver forwards it within its failure domain.
     pub is_passed_on: bool,
 }
 
-/// What changed in what all have to know.
+/// Changes to the data that all instances need.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Changes {
-    /// Who sends it.
+    /// Id of the sender.
     pub from: Arc<str>,
-    /// The version of the configuration that the sender has.
+    /// Version of the configuration that the sender has.
     pub config: u64,
-    /// The revision after which `fleet` holds all changes.
+    /// Revision since which `fleet` contains all changes; `u64::MAX` if it leaves them out.
     pub since: u64,
-    /// What changed in the list of upstreams.
+    /// Changes to the list of upstreams.
     pub fleet: Delta,
-    /// An instance that holds the whole list, for those that have none.
+    /// Address of an instance that holds the whole list, for instances that have none.
     pub holder: Option<SocketAddr>,
-    /// If `fleet` holds only what the receiver holds of large services, these.
+    /// If `fleet` is limited to the upstreams of large services that the receiver holds, which these
+    /// are.
     pub part: Option<Part>,
 }
 
-/// Which part of the list of upstreams a message holds.
+/// The subset of the list of upstreams that an instance holds or a message covers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Part {
     /// The share of the large services.
     pub share: Share,
-    /// The services that are too large to be held whole.
+    /// The services that are too large for each instance to hold all their upstreams.
     pub large: BTreeSet<Arc<str>>,
 }
--- a/src/gateway/loads/mod.rs
+++ b/src/gateway/loads/mod.rs
@@ -1,10 +1,10 @@
-//! What instances tell each other of their traffic, each piece to those who read it.
+//! Exchange of traffic data between instances; each piece is sent only to the instances that use it.
 //!
-//! Who places requests beside the sender, in its failure domain, hears of its load at once. Other
-//! failure domains get a digest of the whole domain a few times a second: its instances send it by
-//! turns, to one instance of each other domain, which passes it on there. So neither the messages of
-//! one instance nor the bytes between domains grow with the fleet. A message changes what it names
-//! in the picture, in time that depends on its own length. See [docs/DESIGN.md](../../../docs/DESIGN.md).
+//! Instances of the same failure domain that place requests receive the sender's load at once. Other
+//! failure domains receive a digest of the whole domain a few times a second: its instances take
+//! turns in sending it to one instance of each other domain, which forwards it there. So neither the
+//! messages of one instance nor the traffic between domains grow with the fleet. Applying a message
+//! takes time in proportion to its length. See [docs/DESIGN.md](../../../docs/DESIGN.md).
 
 mod message;
 mod own;
--- a/src/gateway/loads/own.rs
+++ b/src/gateway/loads/own.rs
@@ -1,38 +1,38 @@
-//! What one instance has to tell of its traffic, and what of it was told already.
+//! The traffic of this instance, and what of it was reported to others.
 
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
 
-/// What runs at one upstream.
+/// The load at one upstream.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Held {
-    /// The upstream.
+    /// Id of the upstream.
     pub upstream: Arc<str>,
-    /// Requests that run there.
+    /// Number of requests that run there.
     pub runs: u32,
-    /// Copies of runs that lie there.
+    /// Number of copies of a run's KV cache that are stored there.
     pub copies: u32,
-    /// Prompts that it is reading.
+    /// Number of prompts that it is reading (prefill).
     pub reading: u32,
     /// Tokens of those prompts.
     pub pending_tokens: u64,
-    /// Tokens of memory that the runs and copies take by their end.
+    /// Tokens of KV cache that the runs and copies occupy by their end.
     pub reserved_tokens: u64,
 }
 
 impl Held {
-    /// Nothing at an upstream.
+    /// No load at an upstream.
     pub fn nothing(upstream: Arc<str>) -> Held {
         Held { upstream, runs: 0, copies: 0, reading: 0, pending_tokens: 0, reserved_tokens: 0 }
     }
 
-    /// Whether nothing is there.
+    /// Whether there is no load.
     pub fn is_nothing(&self) -> bool {
         self.runs + self.copies + self.reading == 0
     }
 
-    /// Adds what another has there.
+    /// Adds another load at the same upstream.
     pub fn add(&mut self, other: &Held) {
         self.runs += other.runs;
         self.copies += other.copies;
@@ -41,7 +41,7 @@
         self.reserved_tokens += other.reserved_tokens;
     }
 
-    /// Takes away what was added.
+    /// Subtracts a load that was added before.
     pub fn take_away(&mut self, other: &Held) {
         self.runs = self.runs.saturating_sub(other.runs);
         self.copies = self.copies.saturating_sub(other.copies);
@@ -51,53 +51,53 @@
     }
 }
 
-/// What was sent to a service in the window of the retry budget.
+/// Number of requests sent to a service within the window of the retry budget.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Sent {
-    /// The service.
+    /// Name of the service.
     pub service: Arc<str>,
-    /// Requests of callers.
+    /// Requests from callers.
     pub requests: u64,
-    /// Repeats.
+    /// Repeats of requests.
     pub repeats: u64,
 }
 
-/// All that an instance's traffic has to tell.
+/// All that an instance reports about its traffic.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Own {
-    /// What it has running at upstreams.
+    /// Its load at upstreams.
     pub held: Vec<Held>,
-    /// What it sent lately.
+    /// The requests it sent recently.
     pub sent: Vec<Sent>,
-    /// Upstreams that it lost in the last moments.
+    /// Upstreams that it lost recently.
     pub lost: Vec<Arc<str>>,
-    /// Which engine read a part of a prompt, by the part's hash: a caller whose instance died goes on
-    /// at another one, which sends it where the prompt is still in memory.
+    /// Engines that read a prompt prefix, by the hash of the prefix. A caller whose instance died
+    /// continues at another one, which sends it to the engine that still has the prompt cached.
     pub places: Vec<(u64, Arc<str>)>,
 }
 
-/// What changed since it was last told.
+/// What changed since the last report.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Change {
-    /// What runs where that changed.
+    /// The load at upstreams where it changed.
     pub held: Vec<Held>,
-    /// What it sent lately, if that changed.
+    /// The requests it sent recently, if their number changed.
     pub sent: Option<Vec<Sent>>,
     /// Upstreams that it lost since.
     pub lost: Vec<Arc<str>>,
-    /// Places that are new.
+    /// Engines that read a prompt prefix, as far as this is new.
     pub places: Vec<(u64, Arc<str>)>,
 }
 
-/// What was told so far.
+/// What was reported so far.
 #[derive(Debug, Clone, Default)]
 pub struct Told {
     own: Own,
 }
 
 impl Told {
-    /// What has to be told now, if anything has: how much was sent does not count by itself, since it
-    /// changes with each request. It is told from now on.
+    /// Returns what has to be reported now, if anything, and records it as reported. A change in the
+    /// number of sent requests alone is not reported, because each request changes it.
     pub fn take(&mut self, own: Own) -> Option<Change> {
         let change = self.change(&own);
         if change.held.is_empty() && change.lost.is_empty() && change.places.is_empty() {
--- a/src/gateway/loads/picture.rs
+++ b/src/gateway/loads/picture.rs
@@ -1,4 +1,4 @@
-//! What the other instances have at upstreams, grown message by message.
+//! The load of the other instances at upstreams, updated message by message.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -8,18 +8,22 @@
 use super::places::Places;
 use crate::decide::Random;
 
-/// How often a failure domain's digest reaches each of the others, on average: loads that are as old
-/// still tell which of a hundred engines are busy, since a request runs for seconds.
+/// Average interval between two digests of a failure domain at each of the others, in milliseconds.
+/// Loads of that age still show which of a hundred engines are busy, because a request runs for
+/// seconds.
 pub const DIGEST_MS: u64 = 150;
-/// How long a change is repeated in digests: of messages that come every [`DIGEST_MS`], at random
-/// moments, one in fifty changes then meets none, and the repeated sample brings it.
+/// How long digests repeat a change, in milliseconds. They are sent every [`DIGEST_MS`] on average,
+/// at random times, so one in fifty changes is in none of them; the unchanged upstreams that digests
+/// also repeat make up for it.
 const CHANGE_TOLD_MS: u64 = 600;
-/// Upstreams without a change that a digest repeats, so that all are within a second or two.
+/// Number of upstreams that a digest repeats without a change, so that each is repeated within a
+/// second or two.
 const REPEATED: usize = 12;
-/// How long another failure domain's load at an upstream counts without having been repeated.
+/// How long another failure domain's load at an upstream counts unless it is repeated, in
+/// milliseconds.
 const FAR_KEPT_MS: u64 = 4_000;
 
-/// An instance of this failure domain.
+/// Another instance of this failure domain.
 #[derive(Debug)]
 struct Origin {
     incarnation: u64,
@@ -37,18 +41,18 @@
     heard_ms: u64,
 }
 
-/// What instances sent that have ended since.
+/// The requests sent by an instance that has ended, or by several.
 #[derive(Debug)]
 struct Ended {
     sent: Vec<Sent>,
     heard_ms: u64,
 }
 
-/// The picture of the others' traffic.
+/// The traffic of the other instances, as far as it is known.
 #[derive(Debug)]
 pub struct Loads {
     domain: Arc<str>,
-    /// How long the retry budget counts what was sent.
+    /// Window of the retry budget, in which sent requests count.
     window_ms: u64,
     near: BTreeMap<Arc<str>, Origin>,
     near_sum: BTreeMap<Arc<str>, Held>,
@@ -57,14 +61,15 @@
     mine: BTreeMap<Arc<str>, Held>,
     changed_ms: BTreeMap<Arc<str>, u64>,
     ended: Vec<Ended>,
-    /// What others told of ended instances; a starting instance knew none of them.
+    /// What peers reported about ended instances; an instance that has just started has seen none of
+    /// them end.
     told_of_ended: Option<Ended>,
     places: Places,
     new_places: Vec<(u64, Arc<str>, u64)>,
 }
 
 impl Loads {
-    /// Nothing known yet, at an instance of a failure domain.
+    /// Creates the state of an instance of a failure domain that has received nothing yet.
     pub fn new(domain: Arc<str>, window_ms: u64) -> Loads {
         Loads {
             domain,
@@ -82,17 +87,17 @@
         }
     }
 
-    /// What all others have, by upstream.
+    /// The load of all other instances, by upstream.
     pub fn held(&self) -> Arc<BTreeMap<Arc<str>, Held>> {
         Arc::clone(&self.sum)
     }
 
-    /// Where prompts were read.
+    /// The engines that read prompt prefixes.
     pub fn places(&self) -> Places {
         self.places.clone()
     }
 
-    /// Takes in what an instance of this failure domain tells; something older changes nothing.
+    /// Applies an update from an instance of this failure domain. Returns `false` if it is outdated.
     pub fn hear(&mut self, news: LoadNews, now_ms: u64) -> bool {
         let known = self.near.get(&news.id);
         if known.is_some_and(|known| known.incarnation != news.incarnation) {
@@ -149,7 +154,8 @@
         self.changed_ms.insert(upstream, now_ms);
     }
 
-    /// Drops what an instance has that has ended; what it sent counts for the rest of the window.
+    /// Removes the load of an instance that has ended; its sent requests count for the rest of the
+    /// window.
     pub fn remove(&mut self, id: &str, now_ms: u64) {
         let Some(origin) = self.near.remove(id) else { return };
         for before in origin.held.values() {
@@ -161,7 +167,7 @@
         self.ended.push(Ended { sent: origin.sent, heard_ms: origin.heard_ms });
     }
 
-    /// Notes what this instance itself has, for the digest of its failure domain.
+    /// Records this instance's own load, for the digest of its failure domain.
     pub fn note_own(&mut self, own: &Own, now_ms: u64) {
         let mine = own.held.iter().map(|held| (Arc::clone(&held.upstream), held.clone()));
         let mine: BTreeMap<Arc<str>, Held> = mine.collect();
@@ -174,13 +180,14 @@
         self.mine = mine;
     }
 
-    /// Notes a place that this instance itself told, for the digest of its failure domain.
+    /// Records cache locations that this instance itself reported, for the digest of its failure
+    /// domain.
     pub fn note_places(&mut self, places: &[(u64, Arc<str>)], now_ms: u64) {
         let new = places.iter().map(|(part, upstream)| (*part, Arc::clone(upstream), now_ms));
         self.new_places.extend(new);
     }
 
-    /// What all instances of this failure domain have, for another one.
+    /// Summarises the traffic of all instances of this failure domain, for the other domains.
     pub fn digest(&mut self, own: &Own, now_ms: u64, random: &mut dyn Random) -> Digest {
         self.changed_ms.retain(|_, at_ms| *at_ms + CHANGE_TOLD_MS > now_ms);
         self.new_places.retain(|(_, _, at_ms)| at_ms + CHANGE_TOLD_MS > now_ms);
@@ -211,7 +218,7 @@
         held
     }
 
-    /// Takes in the digest of another failure domain.
+    /// Applies the digest of another failure domain. Returns `false` if it is of this instance's own.
     pub fn hear_digest(&mut self, digest: Digest, now_ms: u64) -> bool {
         if digest.domain == self.domain {
             return false;
@@ -236,7 +243,7 @@
         true
     }
 
-    /// Forgets what has not been told for too long. Returns whether anything was.
+    /// Removes what has not been repeated for too long. Returns whether that was any load.
     pub fn forget(&mut self, now_ms: u64) -> bool {
         let window_ms = self.window_ms;
         self.ended.retain(|ended| ended.heard_ms + window_ms > now_ms);
@@ -257,8 +264,8 @@
         is_any
     }
 
-    /// What the others sent to each service within the window, also those that have ended since:
-    /// upstreams have counted it.
+    /// The requests that the other instances sent to each service within the window. Instances that
+    /// have ended since are included, because the upstreams received their requests.
     pub fn sent(&self, now_ms: u64) -> BTreeMap<Arc<str>, Sent> {
         let far = self.far.values().filter(|far| far.heard_ms + self.window_ms > now_ms);
         let far = far.flat_map(|far| &far.sent);
@@ -270,8 +277,9 @@
         sums
     }
 
-    /// What instances of this failure domain sent within the window, without this one, that have
-    /// ended since: as this instance saw it, or as others did if that is more.
+    /// The requests that other instances of this failure domain sent within the window and that have
+    /// ended since: for each service, the larger of what this instance saw and what its peers
+    /// reported.
     fn sent_by_ended(&self, now_ms: u64) -> Vec<Sent> {
         let mut seen = sum(self.own_ended(now_ms).iter());
         let told = self.told_of_ended.as_ref();
@@ -284,7 +292,7 @@
         seen.into_values().collect()
     }
 
-    /// The same, as this instance saw it itself: what it tells others.
+    /// The same as this instance saw it itself, which is what it reports to its peers.
     pub fn own_ended(&self, now_ms: u64) -> Vec<Sent> {
         let ended = self.ended.iter().filter(|ended| ended.heard_ms + self.window_ms > now_ms);
         sum(ended.flat_map(|ended| &ended.sent)).into_values().collect()
@@ -300,7 +308,7 @@
     }
 }
 
-/// Changes what is at one upstream in a sum.
+/// Replaces one instance's load at an upstream within a total.
 fn change(sums: &mut BTreeMap<Arc<str>, Held>, before: Option<&Held>, now: &Held) {
     let id = Arc::clone(&now.upstream);
     let sum = sums.entry(Arc::clone(&id)).or_insert_with(|| Held::nothing(Arc::clone(&id)));
--- a/src/gateway/loads/places.rs
+++ b/src/gateway/loads/places.rs
@@ -1,13 +1,13 @@
-//! Which engines read a part of a prompt, as others told: kept by the second, so that what is new
-//! copies only what came in the same second.
+//! The engines that read prompt prefixes, as peers reported. The entries are grouped by second, so
+//! that adding to a shared value copies only the entries of the current second.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-/// How long it is remembered: callers whose instance died come within seconds, and engines keep a
-/// prompt about as long.
+/// How long an entry is kept, in milliseconds. Callers whose instance died come back within seconds,
+/// and engines keep a prompt cached for about as long.
 const KEPT_MS: u64 = 10_000;
-/// How much is in one step.
+/// Time span of one group of entries, in milliseconds.
 const STEP_MS: u64 = 1_000;
 
 #[derive(Debug, Clone, Default)]
@@ -16,14 +16,14 @@
     parts: Arc<BTreeMap<u64, Vec<Arc<str>>>>,
 }
 
-/// The places; cloning shares them.
+/// Engines that read prompt prefixes. Clones share the entries.
 #[derive(Debug, Clone, Default)]
 pub struct Places {
     steps: VecDeque<Step>,
 }
 
 impl Places {
-    /// Notes that an engine read a part of a prompt.
+    /// Records that an engine read a prompt prefix.
     pub fn add(&mut self, part: u64, upstream: Arc<str>, now_ms: u64) {
         self.forget(now_ms);
         if self.steps.back().is_none_or(|step| step.since_ms + STEP_MS <= now_ms) {
@@ -35,14 +35,14 @@
         engines.push(upstream);
     }
 
-    /// Forgets what is too old.
+    /// Removes the entries that are too old.
     pub fn forget(&mut self, now_ms: u64) {
         while self.steps.front().is_some_and(|step| step.since_ms + KEPT_MS <= now_ms) {
             self.steps.pop_front();
         }
     }
 
-    /// The engines that read a part, the last one last.
+    /// The engines that read a prompt prefix, the most recent one last.
     pub fn of(&self, part: u64) -> impl Iterator<Item = &Arc<str>> {
         self.steps.iter().filter_map(move |step| step.parts.get(&part)).flatten()
     }
--- a/src/gateway/membership/card.rs
+++ b/src/gateway/membership/card.rs
@@ -1,4 +1,4 @@
-//! What instances know of each other.
+//! What instances know about each other.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -9,85 +9,87 @@
 use super::super::policy::subset::Share;
 use super::super::policy::watchers::{self, Rank};
 
-/// Whether an instance takes callers.
+/// Whether an instance accepts requests from callers.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Phase {
-    /// It doesn't know enough yet.
+    /// It still lacks the configuration or the list of upstreams.
     #[default]
     #[serde(rename = "a")]
     Starting,
-    /// It does.
+    /// It accepts requests.
     #[serde(rename = "r")]
     Ready,
-    /// A planned stop is under way.
+    /// It is shutting down as planned.
     #[serde(rename = "t")]
     Stopping,
 }
 
-/// What an instance knows, by versions that only grow.
+/// The versions of the shared data that an instance has; they only grow.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Versions {
-    /// The version of the configuration in force.
+    /// Version of the configuration in force.
     pub config: u64,
-    /// The revision of the list of upstreams.
+    /// Revision of the list of upstreams.
     pub fleet: u64,
 }
 
-/// What an instance says of itself.
+/// What an instance publishes about itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Card {
-    /// Who it is.
+    /// Its id and addresses.
     pub registration: Registration,
-    /// Raised by the instance alone, with each change and to refute a suspicion; the highest counts.
+    /// Raised only by the instance itself, with each change and to refute a suspicion; the highest
+    /// version wins.
     pub version: u64,
-    /// Whether it takes callers.
+    /// Whether it accepts requests from callers.
     pub phase: Phase,
-    /// Whether the directory answers it, so that it hears of changes by itself.
+    /// Whether the directory answers it, so that it receives changes directly and not through peers.
     pub is_first_hand: bool,
-    /// The speed of its link; 0 if that is not known.
+    /// Bandwidth of its network link in Mbit/s; 0 if unknown.
     pub link_mbps: u32,
     /// The share of the large services that it holds.
     pub share: Share,
 }
 
 impl Card {
-    /// Its place in the order of the fleet.
+    /// Its rank in the fleet.
     pub fn rank(&self) -> Rank {
         watchers::rank(&self.registration.id, self.link_mbps)
     }
 }
 
-/// Whether an instance is thought to live. Of one version, a later variant counts more.
+/// Whether an instance is believed to be alive. Within one version, a later variant overrides an
+/// earlier one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Standing {
-    /// It lives.
+    /// It is alive.
     #[serde(rename = "a")]
     Alive,
     /// It did not answer one of its observers.
     #[serde(rename = "s")]
     Suspect,
-    /// It is gone.
+    /// It is declared dead.
     #[serde(rename = "d")]
     Dead,
 }
 
-/// Another instance as it is known here.
+/// Another instance, as this one knows it.
 #[derive(Debug, Clone)]
 pub struct Member {
-    /// What it last said of itself.
+    /// What it last published about itself.
     pub card: Card,
-    /// What it knew when it was last heard directly.
+    /// The versions that it last reported directly.
     pub versions: Versions,
-    /// Whether it is thought to live.
+    /// Whether it is believed to be alive.
     pub standing: Standing,
-    /// When its standing last changed.
+    /// Time of the last change of its standing.
     pub since_ms: u64,
-    /// Who suspects its present version.
+    /// Ids of the instances that suspect its current version.
     pub(super) suspected_by: BTreeSet<Arc<str>>,
 }
 
 impl Member {
-    /// Whether it is not known to be gone.
+    /// Whether it is not declared dead.
     pub fn is_alive(&self) -> bool {
         self.standing != Standing::Dead
     }
--- a/src/gateway/membership/members.rs
+++ b/src/gateway/membership/members.rs
@@ -1,4 +1,4 @@
-//! The members, and what is heard and told of them.
+//! The member table: merges membership updates from other instances and queues the messages to send.
 
 mod probing;
 
@@ -19,33 +19,36 @@
 use super::sums::Sums;
 use crate::decide::Random;
 
-/// Observers that agree.
+/// Number of observers that must suspect the same member before the shorter suspicion timeout
+/// applies.
 const AGREED: usize = 2;
-/// In one of so many rounds, another failure domain is told as well: of a domain with ten instances,
-/// each rumor then leaves it some ten times.
+/// Gossip also goes to another failure domain in one round out of this many. In a domain of ten
+/// instances, each rumor is then sent out of the domain about ten times.
 const TOLD_FAR: u64 = 4;
-/// Members in one message, so that it stays under 2 KB.
+/// Maximum number of members in one message, which keeps it below 2 KB.
 const MOST_IN_MESSAGE: usize = 16;
-/// Members that were not known, below which a comparison was hardly worth its bytes.
+/// A comparison that brings fewer unknown members than this is hardly worth its bytes and delays the
+/// next one.
 const FEW_UNKNOWN: usize = 8;
-/// The pause after such a comparison, for each member: the more there are, the more often one of them has
-/// just changed, which rumors tell.
+/// Delay after such a comparison, in milliseconds per member. The more members there are, the more
+/// often one of them has just changed, and gossip spreads that change anyway.
 const COMPARE_PAUSE_MS: u64 = 1;
-/// Members that are told at once to one that is new, or that knows others than we do.
+/// Maximum number of members sent in reply to the checksums of another instance.
 const MOST_TOLD: usize = 4 * MOST_IN_MESSAGE;
 
-/// The members, as one instance knows them.
+/// The members as one instance knows them.
 #[derive(Debug)]
 pub struct Membership {
     card: Card,
     versions: Versions,
     members: BTreeMap<Arc<str>, Member>,
-    /// Addresses to ask while nobody is known.
+    /// Addresses to ping while no member is known.
     contacts: BTreeSet<SocketAddr>,
     observed: BTreeMap<Arc<str>, probing::Observation>,
-    /// Another member that was pinged in this round, a different one each time.
+    /// The member that was pinged in this round beside the observed ones; drawn at random each round.
     sampled: Option<Arc<str>>,
-    /// Pings for others: the number that was sent, who asked, and with which number.
+    /// Pings sent for other instances: the number of the ping, the address that asked for it, and the
+    /// number that this address used.
     relayed: BTreeMap<u64, (SocketAddr, u64)>,
     rumors: Rumors,
     number: u64,
@@ -53,15 +56,16 @@
     heard_ms: u64,
     out: Vec<(SocketAddr, Message)>,
     changed: Vec<Arc<str>>,
-    /// The sum over what is known, until that changes.
+    /// Cached checksum over the known members; `None` after a change.
     known_sum: Option<u64>,
-    /// From when on what is known is compared with others again.
+    /// Earliest time of the next comparison with another member.
     compare_from_ms: u64,
 }
 
 impl Membership {
-    /// An instance that knows only where to ask. `version` should grow from start to start; one that
-    /// doesn't is raised when the instance hears of its former self.
+    /// Creates the membership of an instance that knows only bootstrap addresses. `version` should
+    /// grow from start to start. If it does not, it is raised when the instance receives a rumor
+    /// about its previous incarnation.
     pub fn new(
         registration: Registration,
         link_mbps: u32,
@@ -96,27 +100,28 @@
         }
     }
 
-    /// This instance.
+    /// This instance's registration.
     pub fn me(&self) -> &Registration {
         &self.card.registration
     }
 
-    /// The messages to be sent now.
+    /// Takes the messages to be sent now.
     pub fn take_messages(&mut self) -> Vec<(SocketAddr, Message)> {
         std::mem::take(&mut self.out)
     }
 
-    /// The members that came, went or changed since this was last asked.
+    /// Takes the ids of the members that joined, left or changed since the last call.
     pub fn take_changed(&mut self) -> Vec<Arc<str>> {
         std::mem::take(&mut self.changed)
     }
 
-    /// Members that are not known to be gone.
+    /// Members that are not declared dead.
     pub fn alive(&self) -> impl Iterator<Item = &Member> {
         self.members.values().filter(|member| member.is_alive())
     }
 
-    /// How many members fell silent since a time; those that ended by a planned stop had said so.
+    /// Number of members that were declared dead since a time, without those that had announced a
+    /// planned stop.
     pub fn silent_since(&self, since_ms: u64) -> usize {
         let is_silent = |member: &&Member| {
             !member.is_alive()
@@ -126,12 +131,13 @@
         self.members.values().filter(is_silent).count()
     }
 
-    /// A member, living or dead.
+    /// A member, alive or dead.
     pub fn get(&self, id: &str) -> Option<&Member> {
         self.members.get(id)
     }
 
-    /// Changes what this instance says of itself; all hear of it.
+    /// Updates what this instance publishes about itself, and announces it to all others if it
+    /// changed. A change of `versions` alone is sent only with the next pings.
     pub fn set_me(&mut self, phase: Phase, is_first_hand: bool, share: Share, versions: Versions) {
         self.versions = versions;
         let card = Card { phase, is_first_hand, share, ..self.card.clone() };
@@ -141,33 +147,33 @@
         }
     }
 
-    /// What this instance says of itself.
+    /// What this instance publishes about itself.
     pub fn my_card(&self) -> &Card {
         &self.card
     }
 
-    /// This instance's place in the order of the fleet.
+    /// This instance's rank in the fleet.
     pub fn my_rank(&self) -> Rank {
         self.card.rank()
     }
 
-    /// How many living members come before this instance in that order.
+    /// Number of living members that rank before this instance.
     pub fn before_me(&self) -> usize {
         let me = self.my_rank();
         self.alive().filter(|member| member.card.rank() < me).count()
     }
 
-    /// The living members that hold all upstreams, as far as their rank says.
+    /// The living members that hold the whole list of upstreams, judged by their rank.
     pub fn keepers(&self) -> Vec<&Member> {
         watchers::keepers(self.alive().map(|member| (member.card.rank(), member)))
     }
 
-    /// The newest version of the configuration that any member told.
+    /// The newest configuration version that any member has reported.
     pub fn newest_config(&self) -> u64 {
         self.members.values().map(|member| member.versions.config).max().unwrap_or(0)
     }
 
-    /// Tells some others that this instance ends now.
+    /// Sends the rumor that this instance is dead to a few members, because it shuts down now.
     pub fn leave(&mut self, random: &mut dyn Random) {
         let card = self.card.clone();
         let by = Arc::clone(&card.registration.id);
@@ -177,26 +183,26 @@
         }
     }
 
-    /// Notes where another instance may be reached, as the directory lists it.
+    /// Adds the address of an instance that the directory lists, if the instance is not a member yet.
     pub fn contact(&mut self, registration: &Registration) {
         if registration.id != self.me().id && !self.members.contains_key(&registration.id) {
             self.contacts.insert(registration.peer_addr);
         }
     }
 
-    /// Starts a rumor.
+    /// Starts to spread a rumor.
     pub fn tell(&mut self, rumor: Rumor) {
         let instances = self.members.len() + 1;
         self.rumors.add(rumor, instances);
     }
 
-    /// Whether there is anything to gossip about.
+    /// Whether there are rumors to send.
     pub fn has_rumors(&self) -> bool {
         !self.rumors.is_empty()
     }
 
-    /// Tells a few others what is new: mostly in its own failure domain, since bytes between them are
-    /// paid for, and enough of its instances also tell another one.
+    /// Sends the next round of rumors to a few members. Most are in the same failure domain, because
+    /// traffic between domains is billed; enough instances of a domain also send to another one.
     pub fn gossip(&mut self, random: &mut dyn Random) {
         let addrs = self.listeners(random);
         if addrs.is_empty() || self.rumors.is_empty() {
@@ -206,7 +212,7 @@
         self.out.extend(addrs.into_iter().map(|addr| (addr, message.clone())));
     }
 
-    /// Takes in a rumor about a member. Returns whether it was new.
+    /// Merges a rumor about a member. Returns whether it was new.
     pub fn hear_of(&mut self, card: Card, standing: Standing, by: Arc<str>, now_ms: u64) -> bool {
         let rumor = Rumor::Member { card, standing, by };
         let known = self.take_in(&rumor, now_ms);
@@ -219,8 +225,8 @@
         matches!(known, News::Arrival | News::Urgent)
     }
 
-    /// Takes in members that another one knows already, so that they are news to few: of those, only
-    /// what is urgent is told on.
+    /// Merges members that another instance already knows. Few others lack them, so only urgent
+    /// updates are gossiped further.
     pub fn hear_members(&mut self, members: Vec<Rumor>, now_ms: u64) {
         let mut unknown = 0;
         for rumor in members {
@@ -230,7 +236,7 @@
                 self.tell(rumor);
             }
         }
-        // What little differs is mostly on its way as rumors.
+        // Small differences are mostly rumors that are still spreading.
         let pause_ms = COMPARE_PAUSE_MS * self.members.len() as u64;
         self.compare_from_ms = if unknown < FEW_UNKNOWN { now_ms + pause_ms } else { now_ms };
     }
@@ -244,7 +250,8 @@
         }
         let known = self.members.get_mut(&card.registration.id);
         let Some(member) = known else {
-            // Who is dead before it was known is remembered, so that old news don't bring it back.
+            // An instance that is already dead when first mentioned is remembered, so that an older
+            // rumor does not bring it back.
             self.add(card, standing, by, now_ms);
             return News::of(Standing::Alive, card, standing);
         };
@@ -289,7 +296,8 @@
         self.note_changed(&id);
     }
 
-    /// Refutes what others think of this instance, or of a former one under its name.
+    /// Refutes a rumor that this instance is suspect or dead, or that comes from a previous
+    /// incarnation under its id.
     fn hear_of_me(&mut self, card: &Card, standing: Standing) {
         let is_other_life = card.registration.incarnation != self.me().incarnation;
         let is_wrong = standing != Standing::Alive || is_other_life;
@@ -299,7 +307,7 @@
         }
     }
 
-    /// Takes in what a probe's sender says of itself and of others.
+    /// Merges what the sender of a probe reports about itself and others.
     fn hear(&mut self, probe: Probe, now_ms: u64) {
         self.heard_ms = now_ms;
         let id = Arc::clone(&probe.card.registration.id);
@@ -315,21 +323,22 @@
         }
     }
 
-    /// Takes in a rumor about a member; others are the business of whoever they concern.
+    /// Merges a rumor about a member and ignores all other rumors, which don't concern the
+    /// membership.
     fn hear_rumor(&mut self, rumor: Rumor, now_ms: u64) {
         if let Rumor::Member { card, standing, by } = rumor {
             self.hear_of(card, standing, by, now_ms);
         }
     }
 
-    /// Notes what a member knows, as it told beside its pings.
+    /// Records the versions that a member reported in a message other than a ping.
     pub fn note_versions(&mut self, id: &str, versions: Versions) {
         if let Some(member) = self.members.get_mut(id) {
             member.versions = versions;
         }
     }
 
-    /// Notes that any message came, so that this instance is not cut off.
+    /// Records that a message arrived, so that this instance does not take itself for isolated.
     pub fn note_heard(&mut self, now_ms: u64) {
         self.heard_ms = now_ms;
     }
@@ -339,7 +348,7 @@
         self.known_sum = None;
     }
 
-    /// Raises the version of what this instance says of itself, and has all hear of it.
+    /// Raises the version of this instance's own entry and gossips it to all.
     fn announce(&mut self) {
         self.card.version += 1;
         self.known_sum = None;
@@ -358,7 +367,8 @@
         }
     }
 
-    /// The same for two instances that know the same of the same members, themselves included.
+    /// Checksum over the known living members and this instance: equal at two instances that know the
+    /// same versions of the same instances.
     fn known_sum(&mut self) -> u64 {
         let sum = self.known_sum.unwrap_or_else(|| self.sum_up());
         self.known_sum = Some(sum);
@@ -371,12 +381,12 @@
         })
     }
 
-    /// The cards of all that live, this instance's own included.
+    /// The cards of all living members and of this instance.
     fn cards(&self) -> impl Iterator<Item = &Card> {
         self.alive().map(|member| &member.card).chain([&self.card])
     }
 
-    /// Compares with another instance what is known.
+    /// Starts a comparison of the member tables with another instance.
     fn compare(&mut self, to: SocketAddr, now_ms: u64) {
         if now_ms < self.compare_from_ms {
             return;
@@ -385,8 +395,8 @@
         self.out.push((to, Message::Sums(sums, false)));
     }
 
-    /// Tells what another one lacks, or knows otherwise, as its sums say; unless they are an answer, it
-    /// gets this instance's own.
+    /// Sends the members that another instance lacks or knows in another version, as its checksums
+    /// show. Unless those are a reply themselves, also replies with this instance's own checksums.
     pub fn hear_sums(
         &mut self,
         sums: &Sums,
@@ -410,7 +420,7 @@
         }
     }
 
-    /// Tells some members to one that is new; it finds the others by comparing.
+    /// Sends some members to a new instance; it gets the others by comparing.
     fn introduce(&mut self, to: SocketAddr, random: &mut dyn Random) {
         let alive = self.members_in_turn(random).filter(|member| member.is_alive());
         let members = alive.map(|member| self.rumor_of(member)).take(MOST_IN_MESSAGE).collect();
@@ -423,14 +433,14 @@
         }
     }
 
-    /// All members in the order of their ids, from a different one on each time.
+    /// All members in the order of their ids, starting from a random one.
     fn members_in_turn(&self, random: &mut dyn Random) -> impl Iterator<Item = &Member> {
         let count = self.members.len();
         let start = random.below(count.max(1) as u64) as usize;
         self.members.values().cycle().skip(start).take(count)
     }
 
-    /// Who is told in one round.
+    /// The addresses that one gossip round goes to.
     fn listeners(&self, random: &mut dyn Random) -> Vec<SocketAddr> {
         let (mut near, mut far): (Vec<&Registration>, Vec<&Registration>) = self
             .alive()
@@ -442,7 +452,7 @@
         near.into_iter().chain(far).map(|other| other.peer_addr).collect()
     }
 
-    /// The addresses of a few living members, without order.
+    /// The addresses of up to `most` living members, drawn at random.
     fn some(&self, most: usize, random: &mut dyn Random) -> Vec<SocketAddr> {
         let mut addrs: Vec<SocketAddr> =
             self.alive().map(|member| member.card.registration.peer_addr).collect();
@@ -451,33 +461,34 @@
     }
 }
 
-/// What a rumor about a member is to the one that hears it.
+/// What a rumor about a member is to its receiver.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum News {
-    /// Something older than what is known.
+    /// Older than what is known.
     Old,
-    /// What is known.
+    /// The same as what is known.
     Known,
-    /// That an instance lives, as most do.
+    /// An instance is alive that was alive before or was unknown; most updates are of this kind.
     Arrival,
-    /// Anything else.
+    /// Any other change: a suspicion, a death, a refutation or a planned stop.
     Urgent,
 }
 
 impl News {
-    /// What a card is that is newer than what was known, which stood so before.
+    /// Classifies a card that is newer than the known one, given the standing until now.
     fn of(before: Standing, card: &Card, standing: Standing) -> News {
         let is_alive = before == Standing::Alive && standing == Standing::Alive;
         if is_alive && card.phase != Phase::Stopping { News::Arrival } else { News::Urgent }
     }
 }
 
-/// Who says that an instance lives or is dead doesn't matter, and its name would be a fifth of the message.
+/// Stands for the reporter of a rumor where it does not matter, which is always except for a
+/// suspicion; an id would take a fifth of the message.
 fn nobody() -> Arc<str> {
     Arc::from("")
 }
 
-/// Leaves a few of all, drawn without order.
+/// Keeps up to `most` of all elements, drawn at random.
 fn pick<T>(all: &mut Vec<T>, most: usize, random: &mut dyn Random) {
     for index in 0..most.min(all.len()) {
         let other = index + random.below((all.len() - index) as u64) as usize;
--- a/src/gateway/membership/members/probing.rs
+++ b/src/gateway/membership/members/probing.rs
@@ -1,4 +1,4 @@
-//! Finding out who is gone: pings along the ring, their answers, and suspicions.
+//! Failure detection: pings along the ring, their answers, and suspicions.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,27 +10,29 @@
 use super::{AGREED, Membership};
 use crate::decide::Random;
 
-/// The pause between two pings of an instance by one of its observers.
+/// Interval between two pings of an instance by the same observer, in milliseconds.
 pub const PROBE_MS: u64 = 350;
-/// Successors on the ring that an instance observes. A failure domain in three or five may fall with
-/// its observers; with three, one in a hundred instances has none left and is found a round later.
+/// Number of ring successors that an instance observes. One failure domain of three or five may fail
+/// together with the observers in it. With three observers, one in a hundred instances then has none
+/// left and is detected a round later.
 const OBSERVED: usize = 3;
-/// Unanswered rounds before an instance is suspected: one may meet a process that stands still for
-/// some hundred milliseconds, or a datagram that is lost; the second is also asked through others.
+/// Unanswered rounds before an instance is suspected. A process may stall for some hundred
+/// milliseconds, or a datagram may be lost, so one round is not enough; in the second round, other
+/// instances ping it as well.
 const MISSED_ROUNDS: u32 = 2;
-/// Others that are asked to ping an instance that did not answer.
+/// Number of other instances that are asked to ping an instance that did not answer.
 const HELPERS: usize = 2;
-/// How long a suspected instance has to refute, if no second observer agrees.
+/// Time that a suspected instance has to refute if no second observer agrees, in milliseconds.
 const SUSPICION_MS: u64 = 700;
-/// The least time, also if one does: a round of rumors each way.
+/// Time that it has if a second observer agrees, in milliseconds: one round of rumors each way.
 const AGREED_SUSPICION_MS: u64 = 150;
-/// How late this process may be for its own round before it distrusts what it missed: its quota of
-/// processor time comes in steps of a tenth of a second.
+/// How late this process may start its own round before it discards what it missed, in milliseconds.
+/// Its CPU quota is enforced in periods of a tenth of a second.
 const OWN_LAG_MS: u64 = 150;
-/// How long an instance that hears nobody takes itself for the one that is cut off.
+/// How long an instance that receives nothing assumes that it is the one cut off, in milliseconds.
 const ISOLATED_MS: u64 = 3_000;
-/// How long a dead instance is remembered, so that old news don't bring it back, and is pinged now
-/// and then, so that a healed link is noticed.
+/// How long a dead instance is remembered, in milliseconds, so that an older rumor does not bring it
+/// back. Until then it is pinged now and then, so that a repaired link is noticed.
 const FORGET_MS: u64 = 60_000;
 
 #[derive(Debug, Default)]
@@ -40,7 +42,7 @@
 }
 
 impl Membership {
-    /// One round of observing others, due every [`PROBE_MS`].
+    /// Runs one round of failure detection, due every [`PROBE_MS`].
     pub fn tick(&mut self, now_ms: u64, random: &mut dyn Random) {
         let last_ms = self.ticked_ms.replace(now_ms);
         let is_late = last_ms.is_some_and(|last_ms| now_ms > last_ms + PROBE_MS + OWN_LAG_MS);
@@ -60,7 +62,8 @@
         self.seek(random);
     }
 
-    /// Notes who did not answer the last round.
+    /// Handles the members that did not answer in the last round: other instances ping them, and
+    /// after enough rounds they are suspected.
     fn note_missed(&mut self, now_ms: u64, distrusts_itself: bool, random: &mut dyn Random) {
         let mut silent = Vec::new();
         for (id, observation) in &mut self.observed {
@@ -98,7 +101,7 @@
         self.hear_of(card, Standing::Suspect, me, now_ms);
     }
 
-    /// Ends the suspicions that nobody refuted.
+    /// Declares the members dead that did not refute a suspicion in time.
     fn end_suspicions(&mut self, now_ms: u64) {
         let is_over = |member: &&Member| {
             let is_agreed = member.suspected_by.len() >= AGREED;
@@ -132,8 +135,9 @@
         }
     }
 
-    /// Pings one more member, drawn anew each time: what members that compare find out spreads over the
-    /// whole fleet in few rounds, while along the ring it would take as many as there are members.
+    /// Pings one more member, drawn at random each round, so that what members find by comparing
+    /// spreads over the whole fleet in few rounds. Along the ring, it would take as many rounds as
+    /// there are members.
     fn sample(&mut self, random: &mut dyn Random) {
         let others = self.alive().map(|member| &member.card.registration);
         let others: Vec<_> =
@@ -149,20 +153,20 @@
         self.sampled = Some(id);
     }
 
-    /// The next living members on the ring.
+    /// The living members that follow this instance on the ring.
     fn successors(&self) -> Vec<Arc<str>> {
         let me = ring_position(&self.me().id);
         let mut ring: Vec<(u64, &Arc<str>)> = self
             .alive()
             .map(|member| &member.card.registration.id)
-            // Positions behind this one begin again at the top.
+            // Positions before this instance's come last: the ring wraps around.
             .map(|id| (ring_position(id).wrapping_sub(me), id))
             .collect();
         ring.sort_unstable();
         ring.into_iter().take(OBSERVED).map(|(_, id)| Arc::clone(id)).collect()
     }
 
-    /// Asks the contacts while nobody is known, and one of the dead now and then.
+    /// Pings the bootstrap addresses while no member is known, and one dead member, drawn at random.
     fn seek(&mut self, random: &mut dyn Random) {
         if self.members.values().any(Member::is_alive) {
             self.contacts.clear();
@@ -183,8 +187,8 @@
         }
     }
 
-    /// What a member that is at a version is told: that others doubt it, or know a former life of it
-    /// by a higher version, so that it can refute.
+    /// The rumors that a member must receive to refute them, given its version: that others suspect
+    /// it or declared it dead, or know a previous incarnation of it by a higher version.
     fn told_to(&self, id: &str, version: u64) -> Vec<Rumor> {
         let is_wrong =
             |member: &&Member| member.standing != Standing::Alive || member.card.version > version;
@@ -203,7 +207,7 @@
         }
     }
 
-    /// Takes in a ping.
+    /// Handles a ping and answers it.
     pub fn hear_ping(
         &mut self,
         ping: Probe,
@@ -224,7 +228,7 @@
         self.out.push((from, Message::Ack(answer)));
     }
 
-    /// Takes in an answer to a ping of this instance, or passes on one to a ping for another.
+    /// Handles the answer to a ping, or forwards it if the ping was sent for another instance.
     pub fn hear_ack(&mut self, ack: Probe, now_ms: u64) {
         if let Some((asker, number)) = self.relayed.remove(&ack.number) {
             self.out.push((asker, Message::Ack(Probe { number, ..ack.clone() })));
@@ -238,13 +242,14 @@
             observation.is_answered = true;
         }
         self.hear(ack, now_ms);
-        // Contacts, whom all ask at a start, are not compared with for that.
+        // Bootstrap addresses are pinged by all instances that start; their answers alone don't start
+        // a comparison.
         if knows_others && (is_observed || self.sampled.as_ref() == Some(&id)) {
             self.compare(addr, now_ms);
         }
     }
 
-    /// Pings another instance for one that got no answer.
+    /// Pings another instance on behalf of one that got no answer from it.
     pub fn hear_ping_other(&mut self, asked: Probe, target: SocketAddr, from: SocketAddr) {
         let probe = self.probe(Vec::new());
         self.relayed.insert(probe.number, (from, asked.number));
--- a/src/gateway/membership/message.rs
+++ b/src/gateway/membership/message.rs
@@ -1,4 +1,4 @@
-//! The datagrams between instances.
+//! The datagrams exchanged between instances.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,107 +14,110 @@
 use super::rumors::Rumor;
 use super::sums::Sums;
 
-/// The version of the datagrams' layout. Instances of another one are not understood.
+/// Version of the datagram layout; datagrams of any other version are rejected.
 const LAYOUT: u8 = 4;
 
 /// A datagram.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// Asks whether its receiver lives.
+    /// Asks the receiver for an [`Message::Ack`], to check that it is alive.
     Ping(Probe),
     /// Answers a ping.
     Ack(Probe),
-    /// Asks its receiver to ping another instance and to pass the answer on.
+    /// Asks the receiver to ping another instance and to forward the answer (`ping-req` in SWIM).
     PingOther(Probe, SocketAddr),
-    /// News for all.
+    /// Updates for all instances.
     Rumors(Vec<Rumor>),
-    /// Sums over what the sender knows of members, part by part; it was asked for them if `true`.
+    /// Checksums over the members that the sender knows, one per bucket; `true` if they reply to the
+    /// receiver's own.
     Sums(Sums, bool),
-    /// Members that the receiver lacks or knows otherwise. No news: others know them already.
+    /// Members that the receiver lacks or knows in another version. They are not gossiped further
+    /// unless they are urgent, because other instances know them already.
     Members(Vec<Rumor>),
-    /// What the sender has running at upstreams, for its failure domain.
+    /// The sender's load at upstreams, for its failure domain.
     Loads(LoadNews),
-    /// What all instances of a failure domain have running, for another one.
+    /// The load of all instances of a failure domain at upstreams, for another domain.
     Digest(Digest),
-    /// What changed in the list of upstreams, and that there is a newer configuration.
+    /// Changes to the list of upstreams, and the newest configuration version.
     Changes(Changes),
-    /// Asks its receiver, who holds all upstreams, what changed.
+    /// Asks an instance that holds all upstreams for changes to the list.
     AskChanges(ChangesAsk),
-    /// Asks its receiver, who holds all upstreams, for one of them.
+    /// Asks an instance that holds all upstreams for one of them, by its id.
     AskUpstream(Arc<str>),
-    /// Answers that.
+    /// Answers [`Message::AskUpstream`].
     Upstream(Upstream),
-    /// Asks its receiver, who owns an upstream's token bucket, for a permit.
+    /// Asks the instance that owns an upstream's token bucket for a permit.
     AskPermit(PermitAsk),
-    /// Answers that, by its number.
+    /// Answers [`Message::AskPermit`], with the number of the question.
     Permit(u64, Permit),
-    /// What upstreams said in their answers.
+    /// Rate limits and departures that upstreams announced in their responses.
     Signals(SignalNews),
-    /// What the sender counted for the report of usage.
+    /// What the sender counted for the usage report.
     Usage(UsageNews),
 }
 
-/// What upstreams said to instances in their answers.
+/// Rate limits and departures that upstreams announced to instances in their responses.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SignalNews {
-    /// The rates that they take.
+    /// The rate limits that upstreams announced.
     pub rates: Vec<NamedRate>,
-    /// Those that leave.
+    /// Upstreams that announced that they are leaving.
     pub departures: Vec<Departure>,
-    /// Whether its receiver passes on to its failure domain what is news to it.
+    /// Whether the receiver forwards the entries that are new to it within its failure domain.
     pub is_passed_on: bool,
 }
 
 impl SignalNews {
-    /// Whether it says nothing.
+    /// Whether there are neither rates nor departures.
     pub fn is_empty(&self) -> bool {
         self.rates.is_empty() && self.departures.is_empty()
     }
 }
 
-/// A request for a permit to send one request to an upstream that limits its rate.
+/// Asks for a permit to send one request to an upstream that limits its rate.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PermitAsk {
-    /// Which request of its sender it is.
+    /// Number of the question at its sender; the answer repeats it.
     pub number: u64,
-    /// The upstream.
+    /// Id of the upstream.
     pub upstream: Arc<str>,
-    /// The rate that the upstream takes from all instances, as far as the sender knows.
+    /// The rate that the upstream accepts from all instances together, as far as the sender knows.
     pub rate: Rate,
 }
 
-/// A question of what changed in the list of upstreams, and whether there is a newer configuration.
+/// Asks for changes to the list of upstreams, and whether there is a newer configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangesAsk {
-    /// Who asks.
+    /// Id of the sender.
     pub id: Arc<str>,
-    /// What it knows.
+    /// The versions that the sender has.
     pub versions: Versions,
-    /// The share of the large services that it holds.
+    /// The share of the large services that the sender holds.
     pub share: Share,
 }
 
 /// A ping or its answer.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Probe {
-    /// Who sends it.
+    /// What the sender publishes about itself.
     pub card: Card,
-    /// What the sender knows.
+    /// The versions that the sender has.
     pub versions: Versions,
-    /// Which ping it is, or which one it answers.
+    /// Number of the ping; its answer repeats it.
     pub number: u64,
-    /// A sum over all members that the sender knows: two with different sums tell each other more.
+    /// Checksum over all members that the sender knows; two instances whose checksums differ compare
+    /// their members.
     pub known_sum: u64,
-    /// Some of what the sender knows.
+    /// Rumors about the receiver that it may have to refute.
     pub rumors: Vec<Rumor>,
 }
 
-/// The bytes of a message, if it can be encoded.
+/// Encodes a message; `None` if that is not possible.
 pub fn encode(message: &Message) -> Option<Vec<u8>> {
     rmp_serde::to_vec(&(LAYOUT, message)).ok()
 }
 
-/// Reads a message; `None` for anything else, and for the layout of another version.
+/// Decodes a message; `None` if it is malformed or has another layout version.
 pub fn decode(bytes: &[u8]) -> Option<Message> {
     let (layout, message): (u8, Message) = rmp_serde::from_slice(bytes).ok()?;
     (layout == LAYOUT).then_some(message)
--- a/src/gateway/membership/mod.rs
+++ b/src/gateway/membership/mod.rs
@@ -1,17 +1,20 @@
-//! Who lives: a membership protocol whose time and load per instance do not grow with the fleet.
+//! Membership protocol: tracks which instances are alive. Its detection time and the load per
+//! instance do not grow with the fleet.
 //!
-//! Each instance pings a few others, its successors on a ring that all compute alike, so that each
-//! is observed by as many. What doesn't answer, neither directly nor through others, is suspected;
-//! it may refute that by a higher version of itself, else it is dead when two observers agree or a
-//! moment has passed. What is learned spreads as rumors, each sent a bounded number of times; what
-//! rumors left out, members find by comparing [`Sums`] with those they ping.
+//! Instances form a ring that each of them computes from the ids alone. Every instance pings its next
+//! few successors, so each one has as many observers. An instance that answers neither directly nor
+//! through others is suspected. It can refute the suspicion by raising its own version; otherwise it
+//! is declared dead after a timeout, which is shorter once two observers agree. Updates spread by
+//! gossip as rumors, each sent a bounded number of times. What gossip misses is repaired by
+//! anti-entropy: members compare checksums ([`Sums`]) with those they ping.
 //!
-//! The protocol follows SWIM (Das, Gupta, Motivala: "SWIM: Scalable Weakly-consistent
-//! Infection-style Process Group Membership Protocol", DSN 2002); an instance that was itself late
-//! doubts itself first, and agreement shortens a suspicion, as in Lifeguard (Dadgar, Phillips,
-//! Currey: "Lifeguard: Local Health Awareness for More Accurate Failure Detection", DSN 2018);
-//! observers on a ring come from Rapid (Suresh et al., USENIX ATC 2018). Nothing here knows a
-//! socket, a clock or a task. See [docs/DESIGN.md](../../../docs/DESIGN.md).
+//! The protocol follows SWIM (Das, Gupta, Motivala: "SWIM: Scalable Weakly-consistent Infection-style
+//! Process Group Membership Protocol", DSN 2002). Two rules come from Lifeguard (Dadgar, Phillips,
+//! Currey: "Lifeguard: Local Health Awareness for More Accurate Failure Detection", DSN 2018): an
+//! instance whose own process ran late suspects itself first, and agreement between observers
+//! shortens a suspicion. Observers on a ring come from Rapid (Suresh et al., USENIX ATC 2018). This
+//! module performs no I/O, reads no clock and spawns no tasks. See
+//! [docs/DESIGN.md](../../../docs/DESIGN.md).
 
 mod card;
 mod members;
--- a/src/gateway/membership/rumors.rs
+++ b/src/gateway/membership/rumors.rs
@@ -1,4 +1,5 @@
-//! What spreads from instance to instance, each piece a bounded number of times.
+//! The queue of rumors: updates that spread from instance to instance, each sent a bounded number of
+//! times.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,41 +11,43 @@
 use super::super::fleet::Upstream;
 use super::card::{Card, Standing};
 
-/// The pause between two rounds of telling the same rumor: long enough for those who heard the first
-/// one to have told others.
+/// Interval between two rounds that send the same rumor, in milliseconds: long enough for the
+/// receivers of one round to have passed it on.
 pub const GOSSIP_MS: u64 = 60;
-/// Instances that are told in one round.
+/// Number of instances that one gossip round is sent to.
 pub(super) const FANOUT: usize = 4;
-/// The most rumors in one message, so that it stays under 4 KB.
+/// Maximum number of rumors in one message, which keeps it below 4 KB.
 const MOST_IN_MESSAGE: usize = 32;
-/// The most arrivals that are told at once: in a start of the whole fleet, each instance would repeat the
-/// arrival of all others many times. Those left out come to light when members compare what they know.
+/// Maximum number of queued rumors about arrivals. When the whole fleet starts at once, each instance
+/// would otherwise repeat the arrival of all others many times. Members find those left out by
+/// comparing what they know.
 const MOST_ARRIVALS: usize = 2 * MOST_IN_MESSAGE;
 
-/// A piece of news that all instances should have soon.
+/// An update that all instances should receive soon.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Rumor {
-    /// How an instance stands.
+    /// The state of an instance.
     #[serde(rename = "m")]
     Member {
-        /// What it said of itself.
+        /// What the instance last published about itself.
         card: Card,
-        /// Whether it is thought to live.
+        /// Whether it is believed to be alive.
         standing: Standing,
-        /// Who says so, of a suspicion.
+        /// Id of the instance that reports this; used only for a suspicion.
         by: Arc<str>,
     },
     /// An upstream was lost.
     Lost(Arc<str>),
-    /// An engine was found at its address while the directory is silent.
+    /// An engine was rediscovered at its address under another incarnation, while the directory did
+    /// not answer.
     Found(Upstream),
-    /// An upstream ended under a run that had just begun.
+    /// An upstream ended while it ran a request that it had just begun.
     Ended(EndedUnder),
-    /// A request crashed upstreams, or was cleared.
+    /// A request crashed upstreams, or was cleared of that.
     Crashes(CrashRecord),
 }
 
-/// What a rumor is about; a newer one about the same replaces it.
+/// What a rumor is about; a newer rumor replaces the queued one about the same subject.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 enum Subject {
     Member(Arc<str>),
@@ -73,20 +76,21 @@
     is_arrival: bool,
 }
 
-/// The rumors that this instance still tells.
+/// The rumors that this instance still sends.
 #[derive(Debug, Default)]
 pub struct Rumors {
     pending: BTreeMap<Subject, Pending>,
 }
 
 impl Rumors {
-    /// Takes up a rumor, to be told in so many rounds that all of a fleet have very likely heard it.
+    /// Queues a rumor for as many rounds as it takes to reach all instances of a fleet with high
+    /// probability.
     pub fn add(&mut self, rumor: Rumor, instances: usize) {
         let rounds_left = rounds(instances);
         self.pending.insert(rumor.subject(), Pending { rumor, rounds_left, is_arrival: false });
     }
 
-    /// Takes up the rumor that an instance lives, unless there are too many of the kind.
+    /// Queues a rumor that an instance is alive, unless too many of this kind are queued.
     pub fn add_arrival(&mut self, rumor: Rumor, instances: usize) {
         let subject = rumor.subject();
         let arrivals = self.pending.values().filter(|pending| pending.is_arrival).count();
@@ -96,7 +100,8 @@
         }
     }
 
-    /// Notes that another instance told the same: it need not be told as often from here.
+    /// Records that another instance sent the same rumor, so that this one sends it in one round
+    /// less.
     pub fn heard(&mut self, rumor: &Rumor) {
         let subject = rumor.subject();
         let Some(pending) = self.pending.get_mut(&subject) else { return };
@@ -109,12 +114,12 @@
         }
     }
 
-    /// Whether there is nothing to tell.
+    /// Whether no rumor is queued.
     pub fn is_empty(&self) -> bool {
         self.pending.is_empty()
     }
 
-    /// What is told in the next round: those told least often first.
+    /// The rumors for the next round; those sent least often come first.
     pub fn round(&mut self) -> Vec<Rumor> {
         let mut due: Vec<&mut Pending> = self.pending.values_mut().collect();
         due.sort_by_key(|pending| std::cmp::Reverse(pending.rounds_left));
@@ -128,8 +133,8 @@
     }
 }
 
-/// Rounds until everyone has heard, if each tells so many others in each, and one for those that
-/// were lost on the way.
+/// Number of rounds until a rumor has reached all instances if each instance sends it to [`FANOUT`]
+/// others per round, and one more round for lost messages.
 fn rounds(instances: usize) -> u32 {
     let mut heard = 1;
     let mut rounds = 1;
--- a/tests/gateway/loads.rs
+++ b/tests/gateway/loads.rs
@@ -1,4 +1,4 @@
-//! What instances tell each other of their traffic: pure steps.
+//! The exchange of traffic data between instances, without a network or a clock.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -43,7 +43,7 @@
     assert!(loads.hear(LoadNews { held: vec![held("e1", 2)], ..news("a", 1, 5) }, 0));
     assert!(loads.hear(LoadNews { held: vec![held("e1", 1)], ..news("b", 1, 1) }, 0));
     assert_eq!(runs_at(&loads, "e1"), 3);
-    assert!(!loads.hear(LoadNews { held: vec![held("e1", 9)], ..news("a", 1, 5) }, 10), "old");
+    assert!(!loads.hear(LoadNews { held: vec![held("e1", 9)], ..news("a", 1, 5) }, 10), "outdated");
     assert!(loads.hear(LoadNews { held: vec![held("e2", 1)], ..news("a", 1, 6) }, 20));
     assert_eq!((runs_at(&loads, "e1"), runs_at(&loads, "e2")), (3, 1));
     let whole = LoadNews { is_whole: true, held: vec![held("e2", 4)], ..news("a", 1, 7) };
@@ -55,7 +55,7 @@
     assert_eq!(loads.held()["e1"].reserved_tokens, 6_000);
 }
 
-/// Another incarnation has none of what the former one had; what that sent still counts.
+/// A new incarnation has none of the load of the previous one, whose sent requests still count.
 #[test]
 fn what_was_sent_by_an_instance_that_ended_counts_for_the_window() {
     let mut loads = Loads::new("hall".into(), WINDOW_MS);
@@ -65,15 +65,16 @@
     loads.hear(LoadNews { sent: Some(repeats(5)), ..news("a", 1, 10) }, 500);
     assert_eq!(sum(&loads, 500), 5);
     loads.hear(LoadNews { sent: Some(repeats(1)), ..news("a", 2, 1) }, 2_000);
-    assert_eq!(sum(&loads, 2_000), 6, "started again");
+    assert_eq!(sum(&loads, 2_000), 6, "restarted");
     assert_eq!(runs_at(&loads, "e1"), 0);
-    assert_eq!(sum(&loads, 10_600), 1, "out of the window");
+    assert_eq!(sum(&loads, 10_600), 1, "outside the window");
     loads.remove("a", 10_700);
     assert_eq!(sum(&loads, 11_000), 1, "ended");
     assert_eq!(sum(&loads, 12_100), 0);
 }
 
-/// A starting instance knew nothing of what those before it had sent, and repeated on top of it.
+/// An instance that had just started did not know what ended instances had sent, and repeated
+/// requests beyond the retry budget.
 #[test]
 fn a_starting_instance_hears_what_ended_ones_had_sent() {
     let mut old = Loads::new("hall".into(), WINDOW_MS);
@@ -84,13 +85,13 @@
     new.hear(told.clone(), 100);
     new.hear(LoadNews { count: 2, ..told }, 450);
     let sum = |now_ms| new.sent(now_ms).get("plan").map_or(0, |sent| sent.repeats);
-    assert_eq!(sum(500), 7, "told twice, it counts once");
-    assert!(new.own_ended(500).is_empty(), "hearsay is not told on as seen");
+    assert_eq!(sum(500), 7, "reported twice, it counts once");
+    assert!(new.own_ended(500).is_empty(), "what peers reported is not passed on as seen");
     assert_eq!(sum(10_500), 0);
 }
 
-/// Digests reach another failure domain at random moments and some are lost; it must still end up
-/// with the whole picture, through messages whose length doesn't follow the fleet's.
+/// Digests arrive in another failure domain at random times, and some are lost. It must still end up
+/// with the whole load, from messages whose length does not grow with the fleet.
 #[test]
 fn digests_bring_the_whole_picture_of_another_failure_domain() {
     let mut random = fastrand::Rng::with_seed(3);
@@ -122,7 +123,7 @@
     let mut expected = runs(&here);
     *expected.entry("e7".into()).or_insert(0) += 1;
     assert_eq!(runs(&there), expected);
-    assert!(there.forget(end_ms + 60_000), "what nobody repeats any more is forgotten");
+    assert!(there.forget(end_ms + 60_000), "load that is no longer repeated expires");
     assert!(there.held().is_empty());
 }
 
@@ -144,7 +145,7 @@
 fn only_what_changed_is_told_and_what_ended_too() {
     let mut told = Told::default();
     let own = Own { held: vec![held("e1", 1)], lost: vec!["e9".into()], ..Own::default() };
-    let change = told.take(own.clone()).expect("nothing was told before");
+    let change = told.take(own.clone()).expect("nothing was reported before");
     assert_eq!((change.held, change.lost), (own.held.clone(), own.lost.clone()));
     assert!(told.take(own).is_none());
     let now = Own { held: vec![held("e2", 1)], sent: repeats(1), ..Own::default() };
@@ -152,7 +153,7 @@
     assert_eq!(change.held, [held("e2", 1), Held::nothing("e1".into())]);
     assert_eq!(change.sent, Some(repeats(1)));
     let more = Own { sent: repeats(2), ..now };
-    assert!(told.take(more).is_none(), "requests alone wait for the next round");
+    assert!(told.take(more).is_none(), "a change of the sent requests alone is not reported");
 }
 
 #[test]
@@ -163,10 +164,10 @@
     places.add(2, "e1".into(), 4_100);
     let shared = places.clone();
     let of = |places: &Places, part| places.of(part).map(ToString::to_string).collect::<Vec<_>>();
-    assert_eq!(of(&places, 1), ["e1", "e2"], "the last one last");
+    assert_eq!(of(&places, 1), ["e1", "e2"], "the most recent one last");
     places.forget(10_500);
     assert_eq!(of(&places, 1), ["e2"]);
-    assert_eq!(of(&shared, 1), ["e1", "e2"], "a picture that was published stays as it was");
+    assert_eq!(of(&shared, 1), ["e1", "e2"], "a clone that was published does not change");
     places.forget(20_000);
     assert!(of(&places, 2).is_empty());
 }
--- a/tests/gateway/membership.rs
+++ b/tests/gateway/membership.rs
@@ -1,5 +1,5 @@
-//! The membership protocol in virtual time: the product's own code, on a network that loses, delays
-//! and duplicates, with processes that stand still, end and come back.
+//! Simulates the membership protocol in virtual time: the production code on a network that loses,
+//! delays and duplicates messages, with processes that stall, end and restart.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -12,11 +12,11 @@
 use siskinrock::gateway::policy::subset::Share;
 use yare::parameterized;
 
-/// How long rumors gather before they are told, as in the product.
+/// How long rumors are gathered before a gossip round, as in production.
 const GATHER_MS: u64 = 5;
-/// Within which all have to know that an instance is gone, at any size.
+/// Time within which all instances must know that one is dead, for any size of the fleet.
 const DETECTED_MS: u64 = 1_500;
-/// Within which an instance that lives and is reached is alive in all views again.
+/// Time within which a running, reachable instance must be alive in all views again.
 const HEALED_MS: u64 = 3_000;
 
 #[derive(Debug, Clone, PartialEq)]
@@ -116,13 +116,13 @@
         self.events.push(Reverse((at_ms, self.number, index)));
     }
 
-    /// Plays on until a time; returns how many steps that took.
+    /// Runs the simulation until a time; returns the number of events.
     fn run_until(&mut self, until_ms: u64) -> u64 {
         let mut steps = 0;
         while self.events.peek().is_some_and(|Reverse((at_ms, ..))| *at_ms <= until_ms) {
             let Some(Reverse((at_ms, number, index))) = self.events.pop() else { break };
             self.now_ms = at_ms;
-            let event = self.pending.remove(&number).expect("each event is played once");
+            let event = self.pending.remove(&number).expect("each event runs once");
             self.step(index, event);
             steps += 1;
         }
@@ -140,7 +140,7 @@
             return;
         }
         if instance.paused_until_ms > self.now_ms {
-            // What a process that stands still has to do, it does when it goes on.
+            // A stalled process handles its events when it resumes.
             let at_ms = instance.paused_until_ms;
             return self.schedule(at_ms, index, event);
         }
@@ -185,7 +185,7 @@
         }
     }
 
-    /// Sends what an instance has to send, and has it gossip if there is anything to tell.
+    /// Sends an instance's queued messages, and schedules a gossip round if it has rumors.
     fn flush(&mut self, index: usize) {
         let messages = self.instances[index].membership.take_messages();
         for (to, message) in messages {
@@ -221,7 +221,7 @@
         self.instances[index].is_up = false;
     }
 
-    /// Starts an instance again under its id, with a clock that may have been set back.
+    /// Restarts an instance under its id; a lower version stands for a clock that was set back.
     fn restart(&mut self, index: usize, version: u64) {
         let instance = &mut self.instances[index];
         instance.life += 1;
@@ -233,7 +233,7 @@
         self.schedule(self.now_ms, index, Event::Tick { life });
     }
 
-    /// How many living instances know an instance as one that takes callers.
+    /// Number of running instances that believe an instance to be alive.
     fn views_of(&self, index: usize) -> usize {
         let id = format!("edge-{index}");
         let knows = |other: &&Instance| {
@@ -248,7 +248,7 @@
         (0..self.instances.len()).filter(|index| self.instances[*index].is_up).collect()
     }
 
-    /// Whether all who live know each other as alive, and nobody else.
+    /// Whether all running instances know each other as alive, and no others.
     fn is_settled(&self) -> bool {
         let up = self.up().len();
         let is_up = |member: &&membership::Member| {
@@ -262,7 +262,7 @@
         self.instances.iter().filter(|instance| instance.is_up).all(is_right)
     }
 
-    /// Plays until all who live know the same, and returns when that was; `None` if it takes longer.
+    /// Runs until all views are right and returns how long that took; `None` if it takes longer.
     fn settle(&mut self, within_ms: u64) -> Option<u64> {
         let since_ms = self.now_ms;
         while self.now_ms < since_ms + within_ms {
@@ -275,7 +275,7 @@
     }
 }
 
-/// All start within 300 ms and know three seeds.
+/// All instances start within 300 ms and know only three bootstrap addresses.
 #[parameterized(three = { 3 }, nine = { 9 }, seventy = { 70 }, many = { 195 }, target = { 361 })]
 fn instances_that_know_only_seeds_meet_each_other(count: usize) {
     let mut world = World::start(count, 7);
@@ -283,16 +283,19 @@
     assert!(met_ms.is_some(), "{count} instances don't know each other");
 }
 
-/// A fleet that starts together. When each instance repeated the arrival of all others some thirty times, a
-/// start of 985 cost 2.5 MB an instance, and those whose processor time was used up took each other for
-/// dead. `SISKINROCK_START_INSTANCES` plays another size.
+/// A fleet that starts all at once must not overload its links. When each instance repeated the
+/// arrival of every other one about thirty times, a start of 985 instances cost 2.5 MB each, and
+/// those that had used up their CPU quota declared each other dead. `SISKINROCK_START_INSTANCES` sets
+/// another size.
 #[parameterized(hundreds = { 300 }, thousand = { 1_000 })]
 fn a_start_of_the_whole_fleet_is_cheap(count: usize) {
-    /// Within which all know each other: callers come later than that.
+    /// Time within which all instances must know each other; callers arrive later than that.
     const MET_MS: u64 = 6_000;
-    /// What an instance sends for each other one, on average: its card goes to it a few times.
+    /// Bytes that an instance sends per other instance, on average: its card reaches each of them a
+    /// few times.
     const MOST_BYTES_FOR_EACH: u64 = 500;
-    /// What the busiest sends: its link of 10 Mbit/s carries it in a second and a half.
+    /// Bytes that the busiest instance sends: its link of 10 Mbit/s carries them in a second and a
+    /// half.
     const MOST_BYTES: u64 = 1_900_000;
     let named = std::env::var("SISKINROCK_START_INSTANCES").ok();
     let count = named.and_then(|count| count.parse().ok()).unwrap_or(count);
@@ -302,14 +305,14 @@
     let mean = sent.iter().sum::<u64>() / count as u64;
     let most = *sent.iter().max().expect("there are instances");
     println!(
-        "{count} instances met after {met_ms:?} ms, {mean} bytes sent by each, {most} at most"
+        "{count} instances knew each other after {met_ms:?} ms and sent {mean} bytes each, {most} at most"
     );
     assert!(met_ms.is_some(), "{count} instances don't know each other");
     assert!(mean <= MOST_BYTES_FOR_EACH * count as u64, "{mean} bytes each");
     assert!(most <= MOST_BYTES, "{most} bytes");
 }
 
-/// Rumors that others tell as well are told less often.
+/// A rumor that other instances send as well is sent in fewer rounds.
 #[test]
 fn what_others_tell_is_not_told_as_often() {
     let mut rumors = Rumors::default();
@@ -321,7 +324,7 @@
     assert_eq!(rounds, 2);
 }
 
-/// Of the arrivals of a whole fleet a few are told; what is urgent is told however many there are.
+/// Only some of the arrivals of a whole fleet are gossiped, while all urgent updates are.
 #[test]
 fn arrivals_of_a_whole_fleet_leave_room_for_what_is_urgent() {
     let mut rumors = Rumors::default();
@@ -338,33 +341,34 @@
     told.dedup();
     assert!(told.contains(&of(900, Standing::Dead)));
     let arrivals = (0..500).filter(|index| told.contains(&of(*index, Standing::Alive)));
-    assert_eq!(arrivals.count(), 64, "members find the others by comparing");
+    assert_eq!(arrivals.count(), 64, "members get the others by comparing");
 }
 
-/// Callers are sent to an instance until its peers find it gone, and its load weighs on engines. With
-/// a time that grew with the fleet, 195 instances took 9 s and 361 took 16 s.
+/// Until its peers detect that an instance is dead, callers are sent to it and its load still counts
+/// at engines. When the detection time grew with the fleet, it took 9 s with 195 instances and 16 s
+/// with 361.
 #[parameterized(nine = { 9 }, thirty = { 30 }, many = { 195 }, target = { 361 })]
 fn an_instance_that_is_gone_is_found_in_the_same_time_at_any_size(count: usize) {
     let mut world = World::start(count, 11);
     world.settle(5_000).expect("all know each other");
     for index in 3..8 {
         world.kill(index);
-        let found_ms = world.settle(2 * DETECTED_MS).expect("it is found");
-        assert!(found_ms <= DETECTED_MS, "{found_ms} ms among {count}");
+        let found_ms = world.settle(2 * DETECTED_MS).expect("its death is detected");
+        assert!(found_ms <= DETECTED_MS, "detected after {found_ms} ms among {count} instances");
     }
 }
 
-/// A whole failure domain falls with the observers that lie in it.
+/// A whole failure domain fails together with the observers in it.
 #[test]
 fn a_failure_domain_that_falls_is_found() {
     let mut world = World::start(195, 13);
     world.settle(5_000).expect("all know each other");
     (0..195).filter(|index| index % 5 == 4).for_each(|index| world.kill(index));
-    let found_ms = world.settle(4 * DETECTED_MS).expect("all are found");
+    let found_ms = world.settle(4 * DETECTED_MS).expect("all deaths are detected");
     assert!(found_ms <= 2 * DETECTED_MS, "{found_ms} ms");
 }
 
-/// A process whose processor time is a quota stands still for some hundred milliseconds.
+/// A process with a CPU quota stalls for some hundred milliseconds.
 #[test]
 fn standing_still_for_a_moment_is_no_death() {
     let mut world = World::start(30, 17);
@@ -381,7 +385,8 @@
     }
 }
 
-/// One that stood still for longer is taken for dead, and is alive everywhere soon after it goes on.
+/// An instance that stalls for longer is declared dead, and is alive in all views soon after it
+/// resumes.
 #[test]
 fn a_false_death_heals() {
     let mut world = World::start(30, 19);
@@ -391,10 +396,10 @@
     assert_eq!(world.views_of(4), 0);
     world.run_until(world.now_ms + 150);
     let healed_ms = world.settle(HEALED_MS);
-    assert!(healed_ms.is_some(), "it is still dead somewhere");
+    assert!(healed_ms.is_some(), "an instance still takes it for dead");
 }
 
-/// An instance that is cut off takes itself for the one that is, and its view survives a short cut.
+/// An instance that is cut off suspects itself first, and keeps its view through a short cut.
 #[test]
 fn an_instance_that_is_cut_off_doubts_itself_first() {
     let mut world = World::start(30, 23);
@@ -402,13 +407,13 @@
     world.instances[4].cut_until_ms = world.now_ms + 2_500;
     world.run_until(world.now_ms + 2_400);
     let alive = world.instances[4].membership.alive().count();
-    assert_eq!(alive, 29, "it believes the others alive");
-    assert_eq!(world.views_of(4), 0, "they know that it is gone");
+    assert_eq!(alive, 29, "it still takes the others for alive");
+    assert_eq!(world.views_of(4), 0, "the others take it for dead");
     world.run_until(world.now_ms + 200);
     assert!(world.settle(HEALED_MS).is_some());
 }
 
-/// A restart under the same id, also where the clock was set back meanwhile.
+/// A restart under the same id, also with a clock that was set back in between.
 #[parameterized(later = { 9_000 }, clock_set_back = { 10 })]
 fn an_instance_that_starts_again_is_known_anew(version: u64) {
     let mut world = World::start(30, 29);
@@ -438,11 +443,11 @@
     world.instances[4].membership.leave(&mut fastrand::Rng::with_seed(3));
     world.flush(4);
     world.kill(4);
-    let found_ms = world.settle(DETECTED_MS).expect("it is known to be gone");
+    let found_ms = world.settle(DETECTED_MS).expect("its end is known to all");
     assert!(found_ms <= 400, "{found_ms} ms");
 }
 
-/// What an instance sends must not grow with the fleet: the most links bear 10 Mbit/s.
+/// What an instance sends must not grow with the fleet: most links carry 10 Mbit/s.
 #[parameterized(nine = { 9 }, thirty = { 30 }, hundred = { 100 }, many = { 361 })]
 fn a_quiet_fleet_costs_each_instance_the_same(count: usize) {
     const MOST_MESSAGES_A_SECOND: u64 = 25;
@@ -458,9 +463,9 @@
     }
 }
 
-/// Everything at once, by chance: loss, delay, duplicates, pauses, cuts, ends and restarts. A version
-/// never steps back, and once it is quiet all views are right again. `SISKINROCK_MEMBERSHIP_STEPS`
-/// makes it longer.
+/// Random loss, delays, duplicates, stalls, cut links, ends and restarts, all at once. A known
+/// version must never decrease, and once the network is healthy all views must become right again.
+/// `SISKINROCK_MEMBERSHIP_STEPS` sets the number of events.
 #[parameterized(small = { 9, 41 }, middle = { 30, 43 }, large = { 70, 47 })]
 fn views_are_right_again_after_everything_at_once(count: usize, seed: u64) {
     let steps = std::env::var("SISKINROCK_MEMBERSHIP_STEPS").ok();
@@ -488,7 +493,7 @@
             played += world.run_until(world.now_ms + chance.u64(50..500));
             for (key, version) in versions(&world) {
                 let is_back = before.get(&key).is_some_and(|before| *before > version);
-                assert!(!is_back, "a version stepped back: {key:?}");
+                assert!(!is_back, "a known version decreased: {key:?}");
             }
         }
         world.loss = 0.0;
@@ -498,7 +503,7 @@
     }
 }
 
-/// The version by which each life knows each other id.
+/// The version at which each incarnation of an instance knows each other id.
 fn versions(world: &World) -> BTreeMap<(usize, u64, String), u64> {
     let mut versions = BTreeMap::new();
     for (index, instance) in world.instances.iter().enumerate().filter(|(_, known)| known.is_up) {
@@ -512,19 +517,22 @@
     versions
 }
 
-/// Old news, news about oneself and bytes without sense change nothing.
+/// Outdated rumors, rumors about the receiver itself and malformed bytes change nothing.
 #[test]
 fn old_forged_and_unreadable_messages_change_nothing() {
     let mut membership = Membership::new(registration(0, 1), 0, &[], 50);
     let by = || "edge-9".into();
     assert!(membership.hear_of(card(1, 7), Standing::Alive, by(), 0));
-    assert!(!membership.hear_of(card(1, 6), Standing::Dead, by(), 10), "older");
-    assert!(!membership.hear_of(card(1, 7), Standing::Alive, by(), 10), "known");
+    assert!(!membership.hear_of(card(1, 6), Standing::Dead, by(), 10), "outdated");
+    assert!(!membership.hear_of(card(1, 7), Standing::Alive, by(), 10), "already known");
     assert!(membership.get("edge-1").unwrap().is_alive());
-    assert!(!membership.hear_of(card(0, 3), Standing::Dead, by(), 10), "it lives and is newer");
+    assert!(!membership.hear_of(card(0, 3), Standing::Dead, by(), 10), "its own version is higher");
     assert!(membership.take_messages().is_empty());
     assert!(membership.hear_of(card(1, 7), Standing::Dead, by(), 20));
-    assert!(!membership.hear_of(card(1, 7), Standing::Suspect, by(), 30), "the dead stay dead");
+    assert!(
+        !membership.hear_of(card(1, 7), Standing::Suspect, by(), 30),
+        "a dead member stays dead within one version"
+    );
     for bytes in [&b""[..], b"\x00", b"\xff\xff\xff", b"{\"Ping\":{}}", &[0x92; 40]] {
         assert!(membership::decode(bytes).is_none());
     }
@@ -532,10 +540,10 @@
     let mut other_layout = membership::encode(&message).unwrap();
     assert_eq!(membership::decode(&other_layout), Some(message));
     other_layout[1] += 1;
-    assert!(membership::decode(&other_layout).is_none(), "of another version");
+    assert!(membership::decode(&other_layout).is_none(), "another layout version");
 }
 
-/// Messages that carried everything filled the links of small instances.
+/// Messages that carried all rumors at once filled the links of small instances.
 #[test]
 fn rumors_are_told_a_few_at_a_time_and_all_in_the_end() {
     let mut rumors = Rumors::default();
@@ -545,10 +553,13 @@
         let round = rumors.round();
         assert!(round.len() <= 32);
         for rumor in round {
-            let Rumor::Lost(id) = rumor else { unreachable!("only losses were told") };
+            let Rumor::Lost(id) = rumor else { unreachable!("only losses were queued") };
             *told.entry(id).or_insert(0) += 1;
         }
     }
     assert_eq!(told.len(), 100);
-    assert!(told.values().all(|times| *times == 5), "each as often as a fleet of 195 needs");
+    assert!(
+        told.values().all(|times| *times == 5),
+        "each in as many rounds as a fleet of 195 needs"
+    );
 }
