--- a/src/gateway/control.rs
+++ b/src/gateway/control.rs
@@ -33,7 +33,7 @@
 use super::directory::Directory;
 use super::fleet::Fleet;
 use super::instance::Registration;
-use super::loads::{Loads, Part, Told};
+use super::loads::{Loads, Told, UpstreamSubset};
 use super::membership::{Membership, Phase, Standing, Versions};
 use super::metrics::Metrics;
 use super::policy::active;
@@ -119,7 +119,7 @@
     /// Instances that hold the whole list, as others told.
     list_holders_told: VecDeque<SocketAddr>,
     /// What `fleet` holds.
-    part: Part,
+    part: UpstreamSubset,
     /// Whether more changed in that than went into a message.
     is_behind: bool,
     /// The share of the large services that is to be fetched.
@@ -428,7 +428,7 @@
         }
         let mut upstreams = board.found.merge(&board.fleet.upstreams).into_owned();
         if !share.is_all() {
-            let holds = shares::holds(&self.me.id, &Part { share, ..board.part.clone() });
+            let holds = shares::holds(&self.me.id, &UpstreamSubset { share, ..board.part.clone() });
             upstreams.retain(|id, upstream| holds(id, &upstream.service));
         }
         for Guest { upstream, .. } in board.guests.values() {
--- a/src/gateway/control/changes.rs
+++ b/src/gateway/control/changes.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use super::super::fleet::{Delta, Upstream};
-use super::super::loads::{Changes, Part};
-use super::super::membership::{Card, ChangesAsk, Message, Versions};
+use super::super::loads::{Changes, UpstreamSubset};
+use super::super::membership::{Card, ChangesQuery, Message, Versions};
 use super::exchange::NEWS_MS;
 use super::{Board, Control, shares};
 
@@ -109,7 +109,7 @@
         let mut parts = Vec::new();
         for member in members {
             let Card { registration, share, .. } = &member.card;
-            let part = Part { share: *share, large: board.part.large.clone() };
+            let part = UpstreamSubset { share: *share, large: board.part.large.clone() };
             let holds = shares::holds(&registration.id, &part);
             let is_held = |upstream: &&Upstream| holds(&upstream.id, &upstream.service);
             let gone = gone.iter().filter(|(id, service)| holds(id, service));
@@ -129,7 +129,13 @@
     }
 
     /// A message of a part's changes since a revision, or that there are too many of them.
-    fn part_changes(&self, board: &Board, since: u64, fleet: Delta, part: Part) -> Changes {
+    fn part_changes(
+        &self,
+        board: &Board,
+        since: u64,
+        fleet: Delta,
+        part: UpstreamSubset,
+    ) -> Changes {
         let is_short = is_short(&fleet);
         let nothing = Delta { revision: fleet.revision, ..Delta::default() };
         Changes {
@@ -153,7 +159,7 @@
             if !has_part || Control::is_first_hand(&board) {
                 continue;
             }
-            let ask = ChangesAsk {
+            let ask = ChangesQuery {
                 id: Arc::clone(&self.me.id),
                 versions: Control::versions(&board),
                 share: board.part.share,
@@ -166,14 +172,14 @@
         }
     }
 
-    pub(super) fn hear_changes_ask(&self, ask: &ChangesAsk, from: SocketAddr) {
+    pub(super) fn hear_changes_ask(&self, ask: &ChangesQuery, from: SocketAddr) {
         let board = self.board.borrow();
         let versions = Control::versions(&board);
         let is_newer = versions.config > ask.versions.config || versions.fleet > ask.versions.fleet;
         if !board.part.share.is_all() || !is_newer {
             return;
         }
-        let part = Part { share: ask.share, large: board.part.large.clone() };
+        let part = UpstreamSubset { share: ask.share, large: board.part.large.clone() };
         let since = ask.versions.fleet;
         let fleet = board.fleet.since_for(since, shares::holds(&ask.id, &part));
         let changes = self.part_changes(&board, since, fleet, part);
--- a/src/gateway/control/exchange.rs
+++ b/src/gateway/control/exchange.rs
@@ -8,8 +8,10 @@
 use tokio::net::UdpSocket;
 
 use super::super::instance::Registration;
-use super::super::loads::{DIGEST_MS, Digest, LoadNews};
-use super::super::membership::{self, Card, GOSSIP_MS, Message, PROBE_MS, Probe, Rumor};
+use super::super::loads::{DIGEST_INTERVAL_MS, Digest, LoadUpdate};
+use super::super::membership::{
+    self, Card, GOSSIP_INTERVAL_MS, Message, PROBE_INTERVAL_MS, Probe, Rumor,
+};
 use super::super::policy::watchers;
 use super::{Board, Control, LOST_TOLD_MS};
 
@@ -80,7 +82,7 @@
             self.fetch_if_behind(now_ms);
             self.tell_quarantine_to_one();
             self.tell_signals_to_one();
-            tokio::time::sleep(Duration::from_millis(PROBE_MS)).await;
+            tokio::time::sleep(Duration::from_millis(PROBE_INTERVAL_MS)).await;
         }
     }
 
@@ -114,7 +116,7 @@
             if has_rumors {
                 tokio::select! {
                     () = self.rumors.notified() => {}
-                    () = tokio::time::sleep(Duration::from_millis(GOSSIP_MS)) => {}
+                    () = tokio::time::sleep(Duration::from_millis(GOSSIP_INTERVAL_MS)) => {}
                 }
             } else {
                 self.rumors.notified().await;
@@ -142,7 +144,7 @@
             }
             let sent = change.sent;
             let news = self.load_news(&mut board);
-            let news = LoadNews { held: change.held, sent, places: change.places, ..news };
+            let news = LoadUpdate { held: change.held, sent, places: change.places, ..news };
             let near = board.placing_near.clone();
             drop(board);
             self.send(&Message::Loads(news), &near);
@@ -150,9 +152,9 @@
     }
 
     /// A message about the traffic here that says nothing yet.
-    fn load_news(&self, board: &mut Board) -> LoadNews {
+    fn load_news(&self, board: &mut Board) -> LoadUpdate {
         board.messages += 1;
-        LoadNews {
+        LoadUpdate {
             id: Arc::clone(&self.me.id),
             incarnation: self.me.incarnation,
             count: board.messages,
@@ -170,7 +172,7 @@
         let own = self.shared.own();
         let mut board = self.board.borrow_mut();
         let sent_by_ended = board.loads.own_ended(now_ms);
-        let news = LoadNews {
+        let news = LoadUpdate {
             is_whole: true,
             held: own.held,
             sent: Some(own.sent),
@@ -195,7 +197,8 @@
     pub(super) async fn tell_digests(self: Rc<Control>) {
         loop {
             let here = self.board.borrow().placing_near.len() as u64 + 1;
-            let pause_ms = here * DIGEST_MS / 2 + fastrand::u64(..=here * DIGEST_MS);
+            let pause_ms =
+                here * DIGEST_INTERVAL_MS / 2 + fastrand::u64(..=here * DIGEST_INTERVAL_MS);
             tokio::time::sleep(Duration::from_millis(pause_ms)).await;
             let now_ms = self.clock.now_ms();
             let own = self.shared.own();
@@ -215,7 +218,7 @@
         let mut buffer = vec![0; DATAGRAM_BYTES];
         loop {
             let Ok((length, from)) = socket.recv_from(&mut buffer).await else {
-                tokio::time::sleep(Duration::from_millis(GOSSIP_MS)).await;
+                tokio::time::sleep(Duration::from_millis(GOSSIP_INTERVAL_MS)).await;
                 continue;
             };
             match membership::decode(&buffer[..length]) {
@@ -327,7 +330,7 @@
         self.dirty.notify_one();
     }
 
-    fn hear_loads(&self, news: LoadNews, now_ms: u64) {
+    fn hear_loads(&self, news: LoadUpdate, now_ms: u64) {
         let mut board = self.board.borrow_mut();
         let sender = board.membership.get(&news.id);
         let is_here = sender.is_some_and(|sender| {
--- a/src/gateway/control/knowledge.rs
+++ b/src/gateway/control/knowledge.rs
@@ -19,7 +19,7 @@
 use super::super::channel::Channel;
 use super::super::fleet::{Delta, Page};
 use super::super::instance::Registration;
-use super::super::loads::Part;
+use super::super::loads::UpstreamSubset;
 use super::super::membership::Member;
 use super::super::policy::subset::{self, Share};
 use super::super::route::Config;
@@ -72,7 +72,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Listed {
     /// What it holds of which services.
-    pub part: Part,
+    pub part: UpstreamSubset,
     /// The upstreams.
     pub content: Content,
 }
@@ -123,7 +123,7 @@
             services.filter(|service| board.part.large.contains(*service))
         };
         let share = asked.share.unwrap_or_else(|| subset::first_share(large()));
-        let part = Part { share, large: board.part.large.clone() };
+        let part = UpstreamSubset { share, large: board.part.large.clone() };
         let holds = shares::holds(&asked.id, &part);
         if asked.since > 0 && asked.after.is_empty() {
             let delta = board.fleet.since_for(asked.since, &holds);
@@ -340,7 +340,13 @@
     }
 
     /// Takes in changes since a revision of what this instance holds.
-    fn take_changes_since(&self, since: u64, delta: Delta, part: &Part, from: SocketAddr) {
+    fn take_changes_since(
+        &self,
+        since: u64,
+        delta: Delta,
+        part: &UpstreamSubset,
+        from: SocketAddr,
+    ) {
         let mut board = self.board.borrow_mut();
         self.follow_large(&mut board, part);
         board.is_behind = false;
@@ -381,7 +387,7 @@
 #[derive(Debug, Default)]
 struct Pages {
     /// What the first page said that it holds.
-    part: Option<Part>,
+    part: Option<UpstreamSubset>,
     /// The oldest revision of a page.
     revision: u64,
     pages: Vec<Page>,
@@ -389,7 +395,7 @@
 
 impl Pages {
     /// Adds the next page. Returns whether it was the last one.
-    fn add(&mut self, part: Part, page: Page) -> bool {
+    fn add(&mut self, part: UpstreamSubset, page: Page) -> bool {
         let is_first = self.part.is_none();
         self.part.get_or_insert(part);
         self.revision = if is_first { page.revision } else { self.revision.min(page.revision) };
--- a/src/gateway/control/permits.rs
+++ b/src/gateway/control/permits.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use super::super::membership::{Message, PermitAsk, Phase, Standing};
+use super::super::membership::{Message, PermitQuery, Phase, Standing};
 use super::super::policy::rate_limit::{self, Liveness};
 use super::super::rate::{Permit, Rate};
 use super::super::view::PermitRequest;
@@ -28,7 +28,7 @@
         let number = board.permit_number;
         board.permits.insert(number, answer);
         drop(board);
-        self.send(&Message::AskPermit(PermitAsk { number, upstream, rate }), &[owner]);
+        self.send(&Message::AskPermit(PermitQuery { number, upstream, rate }), &[owner]);
     }
 
     /// Where the owner of an upstream's bucket is reached; `None` if that is this instance.
@@ -57,7 +57,7 @@
         permit
     }
 
-    pub(super) fn hear_permit_ask(&self, ask: PermitAsk, from: SocketAddr) {
+    pub(super) fn hear_permit_ask(&self, ask: PermitQuery, from: SocketAddr) {
         let permit = self.grant(&mut self.board.borrow_mut(), &ask.upstream, ask.rate);
         self.send(&Message::Permit(ask.number, permit), &[from]);
     }
--- a/src/gateway/control/shares.rs
+++ b/src/gateway/control/shares.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 
 use super::super::fleet::Upstream;
-use super::super::loads::Part;
+use super::super::loads::UpstreamSubset;
 use super::super::membership::Message;
 use super::super::policy::subset::{self, Holder, Share};
 use super::super::policy::watchers;
@@ -27,7 +27,7 @@
 impl Control {
     /// Takes on which services are large, as whoever holds all upstreams says: of those that are now,
     /// this instance keeps its share; those that no longer are, it fetches.
-    pub(super) fn follow_large(&self, board: &mut Board, told: &Part) {
+    pub(super) fn follow_large(&self, board: &mut Board, told: &UpstreamSubset) {
         if board.part.large == told.large {
             return;
         }
@@ -145,9 +145,9 @@
 }
 
 /// Whether an instance holds an upstream, by the upstream's id and service.
-pub(super) fn holds(instance: &str, part: &Part) -> impl Fn(&str, &str) -> bool + use<> {
+pub(super) fn holds(instance: &str, part: &UpstreamSubset) -> impl Fn(&str, &str) -> bool + use<> {
     let holder = Holder::new(instance);
-    let Part { share, large } = part.clone();
+    let UpstreamSubset { share, large } = part.clone();
     move |id, service| !large.contains(service) || holder.holds(id, share)
 }
 
@@ -159,6 +159,6 @@
 }
 
 /// What this instance holds before it knows anything.
-pub(super) fn everything() -> Part {
-    Part { share: Share::ALL, large: BTreeSet::new() }
+pub(super) fn everything() -> UpstreamSubset {
+    UpstreamSubset { share: Share::ALL, large: BTreeSet::new() }
 }
--- a/src/gateway/control/signals.rs
+++ b/src/gateway/control/signals.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use super::super::membership::{Message, SignalNews};
+use super::super::membership::{Message, SignalUpdate};
 use super::super::rate::NamedRate;
 use super::super::view::Signal;
 use super::{Board, Control};
@@ -15,13 +15,13 @@
             self.shared.signalled.notified().await;
             for signal in self.shared.take_signals() {
                 match signal {
-                    Signal::Rate(upstream, rate) => self.take_news(SignalNews {
+                    Signal::Rate(upstream, rate) => self.take_news(SignalUpdate {
                         rates: vec![NamedRate { upstream, rate, age_ms: 0 }],
-                        ..SignalNews::default()
+                        ..SignalUpdate::default()
                     }),
-                    Signal::Departure(departure) => self.take_news(SignalNews {
+                    Signal::Departure(departure) => self.take_news(SignalUpdate {
                         departures: vec![departure],
-                        ..SignalNews::default()
+                        ..SignalUpdate::default()
                     }),
                     Signal::PermitWanted(request) => self.ask_permit(request),
                     Signal::NoUpstreamLeft => self.widen_share(),
@@ -32,19 +32,19 @@
     }
 
     /// Takes in what an upstream said to this instance; all others hear of it if it is news.
-    fn take_news(&self, news: SignalNews) {
+    fn take_news(&self, news: SignalUpdate) {
         let mut board = self.board.borrow_mut();
         let Some(news) = self.note_news(&mut board, news) else { return };
         let near = self.near_peers(&board);
         let far = self.one_of_each_other_domain(&board);
         drop(board);
         self.send(&Message::Signals(news.clone()), &near);
-        self.send(&Message::Signals(SignalNews { is_passed_on: true, ..news }), &far);
+        self.send(&Message::Signals(SignalUpdate { is_passed_on: true, ..news }), &far);
     }
 
     /// Takes in what a peer was told; this failure domain hears of it if it is news and came from
     /// another one.
-    pub(super) fn hear_signals(&self, news: SignalNews) {
+    pub(super) fn hear_signals(&self, news: SignalUpdate) {
         let mut board = self.board.borrow_mut();
         let Some(mut news) = self.note_news(&mut board, news) else { return };
         let near = self.near_peers(&board);
@@ -55,7 +55,7 @@
     }
 
     /// Notes what is news, and returns that.
-    fn note_news(&self, board: &mut Board, mut news: SignalNews) -> Option<SignalNews> {
+    fn note_news(&self, board: &mut Board, mut news: SignalUpdate) -> Option<SignalUpdate> {
         let now_ms = self.clock.now_ms();
         news.rates.retain(|told| board.named_rates.note(told, now_ms));
         news.departures.retain(|departure| board.departures.note(departure, now_ms));
@@ -69,7 +69,7 @@
     /// Tells one living peer everything: messages may be lost, and it may have started since.
     pub(super) fn tell_signals_to_one(&self) {
         let board = self.board.borrow();
-        let news = SignalNews {
+        let news = SignalUpdate {
             rates: board.named_rates.all(self.clock.now_ms()),
             departures: board.departures.all(),
             is_passed_on: false,
--- a/src/gateway/loads/message.rs
+++ b/src/gateway/loads/message.rs
@@ -12,7 +12,7 @@
 
 /// The traffic of one instance, for the other instances of its failure domain.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LoadNews {
+pub struct LoadUpdate {
     /// Id of the sender.
     pub id: Arc<str>,
     /// Incarnation of the sender.
@@ -61,12 +61,12 @@
     pub holder: Option<SocketAddr>,
     /// If `fleet` is limited to the upstreams of large services that the receiver holds, which these
     /// are.
-    pub part: Option<Part>,
+    pub part: Option<UpstreamSubset>,
 }
 
 /// The subset of the list of upstreams that an instance holds or a message covers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Part {
+pub struct UpstreamSubset {
     /// The share of the large services.
     pub share: Share,
     /// The services that are too large for each instance to hold all their upstreams.
--- a/src/gateway/loads/mod.rs
+++ b/src/gateway/loads/mod.rs
@@ -11,7 +11,7 @@
 mod picture;
 mod places;
 
-pub use self::message::{Changes, Digest, LoadNews, Part};
+pub use self::message::{Changes, Digest, LoadUpdate, UpstreamSubset};
 pub use self::own::{Held, Own, Sent, Told};
-pub use self::picture::{DIGEST_MS, Loads};
+pub use self::picture::{DIGEST_INTERVAL_MS, Loads};
 pub use self::places::Places;
--- a/src/gateway/loads/picture.rs
+++ b/src/gateway/loads/picture.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use super::message::{Digest, LoadNews};
+use super::message::{Digest, LoadUpdate};
 use super::own::{Held, Own, Sent};
 use super::places::Places;
 use crate::decide::Random;
@@ -11,17 +11,17 @@
 /// Average interval between two digests of a failure domain at each of the others, in milliseconds.
 /// Loads of that age still show which of a hundred engines are busy, because a request runs for
 /// seconds.
-pub const DIGEST_MS: u64 = 150;
-/// How long digests repeat a change, in milliseconds. They are sent every [`DIGEST_MS`] on average,
+pub const DIGEST_INTERVAL_MS: u64 = 150;
+/// How long digests repeat a change, in milliseconds. They are sent every [`DIGEST_INTERVAL_MS`] on average,
 /// at random times, so one in fifty changes is in none of them; the unchanged upstreams that digests
 /// also repeat make up for it.
-const CHANGE_TOLD_MS: u64 = 600;
+const CHANGE_REPEAT_MS: u64 = 600;
 /// Number of upstreams that a digest repeats without a change, so that each is repeated within a
 /// second or two.
-const REPEATED: usize = 12;
+const UNCHANGED_PER_DIGEST: usize = 12;
 /// How long another failure domain's load at an upstream counts unless it is repeated, in
 /// milliseconds.
-const FAR_KEPT_MS: u64 = 4_000;
+const REMOTE_LOAD_TTL_MS: u64 = 4_000;
 
 /// Another instance of this failure domain.
 #[derive(Debug)]
@@ -98,7 +98,7 @@
     }
 
     /// Applies an update from an instance of this failure domain. Returns `false` if it is outdated.
-    pub fn hear(&mut self, news: LoadNews, now_ms: u64) -> bool {
+    pub fn hear(&mut self, news: LoadUpdate, now_ms: u64) -> bool {
         let known = self.near.get(&news.id);
         if known.is_some_and(|known| known.incarnation != news.incarnation) {
             self.remove(&news.id, now_ms);
@@ -189,12 +189,12 @@
 
     /// Summarises the traffic of all instances of this failure domain, for the other domains.
     pub fn digest(&mut self, own: &Own, now_ms: u64, random: &mut dyn Random) -> Digest {
-        self.changed_ms.retain(|_, at_ms| *at_ms + CHANGE_TOLD_MS > now_ms);
-        self.new_places.retain(|(_, _, at_ms)| at_ms + CHANGE_TOLD_MS > now_ms);
+        self.changed_ms.retain(|_, at_ms| *at_ms + CHANGE_REPEAT_MS > now_ms);
+        self.new_places.retain(|(_, _, at_ms)| at_ms + CHANGE_REPEAT_MS > now_ms);
         let mut told: Vec<Arc<str>> = self.changed_ms.keys().cloned().collect();
         let all: Vec<&Arc<str>> = self.near_sum.keys().chain(self.mine.keys()).collect();
         let start = random.below(all.len().max(1) as u64) as usize;
-        let repeated = all.iter().cycle().skip(start).take(REPEATED.min(all.len()));
+        let repeated = all.iter().cycle().skip(start).take(UNCHANGED_PER_DIGEST.min(all.len()));
         told.extend(repeated.map(|id| Arc::clone(id)));
         told.sort_unstable();
         told.dedup();
@@ -252,7 +252,7 @@
         let mut is_any = false;
         for far in self.far.values_mut() {
             far.held.retain(|_, (held, told_ms)| {
-                let is_kept = *told_ms + FAR_KEPT_MS > now_ms;
+                let is_kept = *told_ms + REMOTE_LOAD_TTL_MS > now_ms;
                 if !is_kept {
                     let nothing = Held::nothing(Arc::clone(&held.upstream));
                     change(Arc::make_mut(sum), Some(held), &nothing);
--- a/src/gateway/loads/places.rs
+++ b/src/gateway/loads/places.rs
@@ -6,9 +6,9 @@
 
 /// How long an entry is kept, in milliseconds. Callers whose instance died come back within seconds,
 /// and engines keep a prompt cached for about as long.
-const KEPT_MS: u64 = 10_000;
+const ENTRY_TTL_MS: u64 = 10_000;
 /// Time span of one group of entries, in milliseconds.
-const STEP_MS: u64 = 1_000;
+const GROUP_MS: u64 = 1_000;
 
 #[derive(Debug, Clone, Default)]
 struct Step {
@@ -26,7 +26,7 @@
     /// Records that an engine read a prompt prefix.
     pub fn add(&mut self, part: u64, upstream: Arc<str>, now_ms: u64) {
         self.forget(now_ms);
-        if self.steps.back().is_none_or(|step| step.since_ms + STEP_MS <= now_ms) {
+        if self.steps.back().is_none_or(|step| step.since_ms + GROUP_MS <= now_ms) {
             self.steps.push_back(Step { since_ms: now_ms, parts: Arc::default() });
         }
         let Some(step) = self.steps.back_mut() else { return };
@@ -37,7 +37,7 @@
 
     /// Removes the entries that are too old.
     pub fn forget(&mut self, now_ms: u64) {
-        while self.steps.front().is_some_and(|step| step.since_ms + KEPT_MS <= now_ms) {
+        while self.steps.front().is_some_and(|step| step.since_ms + ENTRY_TTL_MS <= now_ms) {
             self.steps.pop_front();
         }
     }
--- a/src/gateway/membership/members.rs
+++ b/src/gateway/membership/members.rs
@@ -2,7 +2,7 @@
 
 mod probing;
 
-pub use self::probing::PROBE_MS;
+pub use self::probing::PROBE_INTERVAL_MS;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -15,26 +15,26 @@
 use super::super::policy::watchers::{self, Rank};
 use super::card::{Card, Member, Phase, Standing, Versions};
 use super::message::{Message, Probe};
-use super::rumors::{FANOUT, Rumor, Rumors};
+use super::rumors::{GOSSIP_FANOUT, Rumor, Rumors};
 use super::sums::Sums;
 use crate::decide::Random;
 
 /// Number of observers that must suspect the same member before the shorter suspicion timeout
 /// applies.
-const AGREED: usize = 2;
+const AGREEING_OBSERVERS: usize = 2;
 /// Gossip also goes to another failure domain in one round out of this many. In a domain of ten
 /// instances, each rumor is then sent out of the domain about ten times.
-const TOLD_FAR: u64 = 4;
+const REMOTE_GOSSIP_EVERY_ROUNDS: u64 = 4;
 /// Maximum number of members in one message, which keeps it below 2 KB.
-const MOST_IN_MESSAGE: usize = 16;
+const MAX_MEMBERS_PER_MESSAGE: usize = 16;
 /// A comparison that brings fewer unknown members than this is hardly worth its bytes and delays the
 /// next one.
-const FEW_UNKNOWN: usize = 8;
+const MIN_UNKNOWN_PER_COMPARISON: usize = 8;
 /// Delay after such a comparison, in milliseconds per member. The more members there are, the more
 /// often one of them has just changed, and gossip spreads that change anyway.
-const COMPARE_PAUSE_MS: u64 = 1;
+const COMPARE_PAUSE_MS_PER_MEMBER: u64 = 1;
 /// Maximum number of members sent in reply to the checksums of another instance.
-const MOST_TOLD: usize = 4 * MOST_IN_MESSAGE;
+const MAX_MEMBERS_PER_REPLY: usize = 4 * MAX_MEMBERS_PER_MESSAGE;
 
 /// The members as one instance knows them.
 #[derive(Debug)]
@@ -178,7 +178,7 @@
         let card = self.card.clone();
         let by = Arc::clone(&card.registration.id);
         let rumor = Rumor::Member { card, standing: Standing::Dead, by };
-        for addr in self.some(2 * FANOUT, random) {
+        for addr in self.some(2 * GOSSIP_FANOUT, random) {
             self.out.push((addr, Message::Rumors(vec![rumor.clone()])));
         }
     }
@@ -237,8 +237,9 @@
             }
         }
         // Small differences are mostly rumors that are still spreading.
-        let pause_ms = COMPARE_PAUSE_MS * self.members.len() as u64;
-        self.compare_from_ms = if unknown < FEW_UNKNOWN { now_ms + pause_ms } else { now_ms };
+        let pause_ms = COMPARE_PAUSE_MS_PER_MEMBER * self.members.len() as u64;
+        self.compare_from_ms =
+            if unknown < MIN_UNKNOWN_PER_COMPARISON { now_ms + pause_ms } else { now_ms };
     }
 
     fn take_in(&mut self, rumor: &Rumor, now_ms: u64) -> News {
@@ -261,7 +262,7 @@
         let is_agreement =
             suspects && before == Standing::Suspect && member.suspected_by.insert(Arc::clone(by));
         if !is_newer {
-            if is_agreement && member.suspected_by.len() == AGREED {
+            if is_agreement && member.suspected_by.len() == AGREEING_OBSERVERS {
                 return News::Urgent;
             }
             let is_same = (card.version, standing) == (member.card.version, before);
@@ -412,7 +413,7 @@
             .members_in_turn(random)
             .filter(|member| own.differ_at(sums, &member.card.registration.id))
             .map(|member| self.rumor_of(member))
-            .take(MOST_TOLD)
+            .take(MAX_MEMBERS_PER_REPLY)
             .collect();
         self.tell_members(members, from);
         if !is_answer {
@@ -423,12 +424,13 @@
     /// Sends some members to a new instance; it gets the others by comparing.
     fn introduce(&mut self, to: SocketAddr, random: &mut dyn Random) {
         let alive = self.members_in_turn(random).filter(|member| member.is_alive());
-        let members = alive.map(|member| self.rumor_of(member)).take(MOST_IN_MESSAGE).collect();
+        let members =
+            alive.map(|member| self.rumor_of(member)).take(MAX_MEMBERS_PER_MESSAGE).collect();
         self.tell_members(members, to);
     }
 
     fn tell_members(&mut self, members: Vec<Rumor>, to: SocketAddr) {
-        for part in members.chunks(MOST_IN_MESSAGE) {
+        for part in members.chunks(MAX_MEMBERS_PER_MESSAGE) {
             self.out.push((to, Message::Members(part.to_vec())));
         }
     }
@@ -446,8 +448,8 @@
             .alive()
             .map(|member| &member.card.registration)
             .partition(|other| other.domain == self.me().domain);
-        pick(&mut near, FANOUT, random);
-        let tells_far = near.len() < FANOUT || random.below(TOLD_FAR) == 0;
+        pick(&mut near, GOSSIP_FANOUT, random);
+        let tells_far = near.len() < GOSSIP_FANOUT || random.below(REMOTE_GOSSIP_EVERY_ROUNDS) == 0;
         pick(&mut far, usize::from(tells_far), random);
         near.into_iter().chain(far).map(|other| other.peer_addr).collect()
     }
--- a/src/gateway/membership/members/probing.rs
+++ b/src/gateway/membership/members/probing.rs
@@ -7,33 +7,33 @@
 use super::super::card::{Member, Standing};
 use super::super::message::{Message, Probe};
 use super::super::rumors::Rumor;
-use super::{AGREED, Membership};
+use super::{AGREEING_OBSERVERS, Membership};
 use crate::decide::Random;
 
 /// Interval between two pings of an instance by the same observer, in milliseconds.
-pub const PROBE_MS: u64 = 350;
+pub const PROBE_INTERVAL_MS: u64 = 350;
 /// Number of ring successors that an instance observes. One failure domain of three or five may fail
 /// together with the observers in it. With three observers, one in a hundred instances then has none
 /// left and is detected a round later.
-const OBSERVED: usize = 3;
+const OBSERVED_SUCCESSORS: usize = 3;
 /// Unanswered rounds before an instance is suspected. A process may stall for some hundred
 /// milliseconds, or a datagram may be lost, so one round is not enough; in the second round, other
 /// instances ping it as well.
-const MISSED_ROUNDS: u32 = 2;
+const MISSED_ROUNDS_BEFORE_SUSPICION: u32 = 2;
 /// Number of other instances that are asked to ping an instance that did not answer.
-const HELPERS: usize = 2;
+const INDIRECT_PINGS: usize = 2;
 /// Time that a suspected instance has to refute if no second observer agrees, in milliseconds.
-const SUSPICION_MS: u64 = 700;
+const SUSPICION_TIMEOUT_MS: u64 = 700;
 /// Time that it has if a second observer agrees, in milliseconds: one round of rumors each way.
-const AGREED_SUSPICION_MS: u64 = 150;
+const AGREED_SUSPICION_TIMEOUT_MS: u64 = 150;
 /// How late this process may start its own round before it discards what it missed, in milliseconds.
 /// Its CPU quota is enforced in periods of a tenth of a second.
-const OWN_LAG_MS: u64 = 150;
+const MAX_OWN_LAG_MS: u64 = 150;
 /// How long an instance that receives nothing assumes that it is the one cut off, in milliseconds.
-const ISOLATED_MS: u64 = 3_000;
+const MAX_SELF_SUSPICION_MS: u64 = 3_000;
 /// How long a dead instance is remembered, in milliseconds, so that an older rumor does not bring it
 /// back. Until then it is pinged now and then, so that a repaired link is noticed.
-const FORGET_MS: u64 = 60_000;
+const DEAD_RETENTION_MS: u64 = 60_000;
 
 #[derive(Debug, Default)]
 pub(super) struct Observation {
@@ -42,15 +42,18 @@
 }
 
 impl Membership {
-    /// Runs one round of failure detection, due every [`PROBE_MS`].
+    /// Runs one round of failure detection, due every [`PROBE_INTERVAL_MS`].
     pub fn tick(&mut self, now_ms: u64, random: &mut dyn Random) {
         let last_ms = self.ticked_ms.replace(now_ms);
-        let is_late = last_ms.is_some_and(|last_ms| now_ms > last_ms + PROBE_MS + OWN_LAG_MS);
+        let is_late =
+            last_ms.is_some_and(|last_ms| now_ms > last_ms + PROBE_INTERVAL_MS + MAX_OWN_LAG_MS);
         if is_late {
             self.observed.clear();
         }
-        let is_isolated = now_ms.saturating_sub(self.heard_ms) > MISSED_ROUNDS as u64 * PROBE_MS;
-        let distrusts_itself = is_isolated && now_ms.saturating_sub(self.heard_ms) < ISOLATED_MS;
+        let is_isolated = now_ms.saturating_sub(self.heard_ms)
+            > MISSED_ROUNDS_BEFORE_SUSPICION as u64 * PROBE_INTERVAL_MS;
+        let distrusts_itself =
+            is_isolated && now_ms.saturating_sub(self.heard_ms) < MAX_SELF_SUSPICION_MS;
         self.relayed.clear();
         self.note_missed(now_ms, distrusts_itself, random);
         if !is_late && !distrusts_itself {
@@ -78,12 +81,13 @@
             return;
         }
         for (id, missed) in silent {
-            if missed >= MISSED_ROUNDS {
+            if missed >= MISSED_ROUNDS_BEFORE_SUSPICION {
                 self.suspect(&id, now_ms);
             } else if let Some(member) = self.members.get(&id) {
                 let addr = member.card.registration.peer_addr;
-                let others = self.some(HELPERS + 1, random);
-                for helper in others.into_iter().filter(|other| *other != addr).take(HELPERS) {
+                let others = self.some(INDIRECT_PINGS + 1, random);
+                for helper in others.into_iter().filter(|other| *other != addr).take(INDIRECT_PINGS)
+                {
                     let probe = self.probe(Vec::new());
                     self.out.push((helper, Message::PingOther(probe, addr)));
                 }
@@ -104,8 +108,9 @@
     /// Declares the members dead that did not refute a suspicion in time.
     fn end_suspicions(&mut self, now_ms: u64) {
         let is_over = |member: &&Member| {
-            let is_agreed = member.suspected_by.len() >= AGREED;
-            let patience_ms = if is_agreed { AGREED_SUSPICION_MS } else { SUSPICION_MS };
+            let is_agreed = member.suspected_by.len() >= AGREEING_OBSERVERS;
+            let patience_ms =
+                if is_agreed { AGREED_SUSPICION_TIMEOUT_MS } else { SUSPICION_TIMEOUT_MS };
             member.standing == Standing::Suspect && now_ms >= member.since_ms + patience_ms
         };
         let over = self.members.values().filter(is_over).map(|member| member.card.clone());
@@ -117,7 +122,7 @@
 
     fn forget(&mut self, now_ms: u64) {
         self.members.retain(|_, member| {
-            member.is_alive() || now_ms.saturating_sub(member.since_ms) < FORGET_MS
+            member.is_alive() || now_ms.saturating_sub(member.since_ms) < DEAD_RETENTION_MS
         });
     }
 
@@ -163,7 +168,7 @@
             .map(|id| (ring_position(id).wrapping_sub(me), id))
             .collect();
         ring.sort_unstable();
-        ring.into_iter().take(OBSERVED).map(|(_, id)| Arc::clone(id)).collect()
+        ring.into_iter().take(OBSERVED_SUCCESSORS).map(|(_, id)| Arc::clone(id)).collect()
     }
 
     /// Pings the bootstrap addresses while no member is known, and one dead member, drawn at random.
--- a/src/gateway/membership/message.rs
+++ b/src/gateway/membership/message.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::super::fleet::{Departure, Upstream};
-use super::super::loads::{Changes, Digest, LoadNews};
+use super::super::loads::{Changes, Digest, LoadUpdate};
 use super::super::policy::subset::Share;
 use super::super::policy::usage::UsageNews;
 use super::super::rate::{NamedRate, Permit, Rate};
@@ -35,30 +35,30 @@
     /// unless they are urgent, because other instances know them already.
     Members(Vec<Rumor>),
     /// The sender's load at upstreams, for its failure domain.
-    Loads(LoadNews),
+    Loads(LoadUpdate),
     /// The load of all instances of a failure domain at upstreams, for another domain.
     Digest(Digest),
     /// Changes to the list of upstreams, and the newest configuration version.
     Changes(Changes),
     /// Asks an instance that holds all upstreams for changes to the list.
-    AskChanges(ChangesAsk),
+    AskChanges(ChangesQuery),
     /// Asks an instance that holds all upstreams for one of them, by its id.
     AskUpstream(Arc<str>),
     /// Answers [`Message::AskUpstream`].
     Upstream(Upstream),
     /// Asks the instance that owns an upstream's token bucket for a permit.
-    AskPermit(PermitAsk),
+    AskPermit(PermitQuery),
     /// Answers [`Message::AskPermit`], with the number of the question.
     Permit(u64, Permit),
     /// Rate limits and departures that upstreams announced in their responses.
-    Signals(SignalNews),
+    Signals(SignalUpdate),
     /// What the sender counted for the usage report.
     Usage(UsageNews),
 }
 
 /// Rate limits and departures that upstreams announced to instances in their responses.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SignalNews {
+pub struct SignalUpdate {
     /// The rate limits that upstreams announced.
     pub rates: Vec<NamedRate>,
     /// Upstreams that announced that they are leaving.
@@ -67,7 +67,7 @@
     pub is_passed_on: bool,
 }
 
-impl SignalNews {
+impl SignalUpdate {
     /// Whether there are neither rates nor departures.
     pub fn is_empty(&self) -> bool {
         self.rates.is_empty() && self.departures.is_empty()
@@ -76,7 +76,7 @@
 
 /// Asks for a permit to send one request to an upstream that limits its rate.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PermitAsk {
+pub struct PermitQuery {
     /// Number of the question at its sender; the answer repeats it.
     pub number: u64,
     /// Id of the upstream.
@@ -87,7 +87,7 @@
 
 /// Asks for changes to the list of upstreams, and whether there is a newer configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ChangesAsk {
+pub struct ChangesQuery {
     /// Id of the sender.
     pub id: Arc<str>,
     /// The versions that the sender has.
--- a/src/gateway/membership/mod.rs
+++ b/src/gateway/membership/mod.rs
@@ -23,7 +23,7 @@
 mod sums;
 
 pub use self::card::{Card, Member, Phase, Standing, Versions};
-pub use self::members::{Membership, PROBE_MS};
-pub use self::message::{ChangesAsk, Message, PermitAsk, Probe, SignalNews, decode, encode};
-pub use self::rumors::{GOSSIP_MS, Rumor, Rumors};
+pub use self::members::{Membership, PROBE_INTERVAL_MS};
+pub use self::message::{ChangesQuery, Message, PermitQuery, Probe, SignalUpdate, decode, encode};
+pub use self::rumors::{GOSSIP_INTERVAL_MS, Rumor, Rumors};
 pub use self::sums::Sums;
--- a/src/gateway/membership/rumors.rs
+++ b/src/gateway/membership/rumors.rs
@@ -13,15 +13,15 @@
 
 /// Interval between two rounds that send the same rumor, in milliseconds: long enough for the
 /// receivers of one round to have passed it on.
-pub const GOSSIP_MS: u64 = 60;
+pub const GOSSIP_INTERVAL_MS: u64 = 60;
 /// Number of instances that one gossip round is sent to.
-pub(super) const FANOUT: usize = 4;
+pub(super) const GOSSIP_FANOUT: usize = 4;
 /// Maximum number of rumors in one message, which keeps it below 4 KB.
-const MOST_IN_MESSAGE: usize = 32;
+const MAX_RUMORS_PER_MESSAGE: usize = 32;
 /// Maximum number of queued rumors about arrivals. When the whole fleet starts at once, each instance
 /// would otherwise repeat the arrival of all others many times. Members find those left out by
 /// comparing what they know.
-const MOST_ARRIVALS: usize = 2 * MOST_IN_MESSAGE;
+const MAX_QUEUED_ARRIVALS: usize = 2 * MAX_RUMORS_PER_MESSAGE;
 
 /// An update that all instances should receive soon.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -94,7 +94,7 @@
     pub fn add_arrival(&mut self, rumor: Rumor, instances: usize) {
         let subject = rumor.subject();
         let arrivals = self.pending.values().filter(|pending| pending.is_arrival).count();
-        if arrivals < MOST_ARRIVALS || self.pending.contains_key(&subject) {
+        if arrivals < MAX_QUEUED_ARRIVALS || self.pending.contains_key(&subject) {
             let rounds_left = rounds(instances);
             self.pending.insert(subject, Pending { rumor, rounds_left, is_arrival: true });
         }
@@ -124,7 +124,7 @@
         let mut due: Vec<&mut Pending> = self.pending.values_mut().collect();
         due.sort_by_key(|pending| std::cmp::Reverse(pending.rounds_left));
         let mut told = Vec::new();
-        for pending in due.into_iter().take(MOST_IN_MESSAGE) {
+        for pending in due.into_iter().take(MAX_RUMORS_PER_MESSAGE) {
             pending.rounds_left -= 1;
             told.push(pending.rumor.clone());
         }
@@ -133,13 +133,13 @@
     }
 }
 
-/// Number of rounds until a rumor has reached all instances if each instance sends it to [`FANOUT`]
+/// Number of rounds until a rumor has reached all instances if each instance sends it to [`GOSSIP_FANOUT`]
 /// others per round, and one more round for lost messages.
 fn rounds(instances: usize) -> u32 {
     let mut heard = 1;
     let mut rounds = 1;
     while heard < instances {
-        heard *= FANOUT + 1;
+        heard *= GOSSIP_FANOUT + 1;
         rounds += 1;
     }
     rounds
--- a/src/gateway/membership/sums.rs
+++ b/src/gateway/membership/sums.rs
@@ -12,9 +12,9 @@
 
 /// Average number of members in a bucket. A bucket that differs is sent whole, although the receiver
 /// knows most of its members.
-const MEMBERS_IN_PART: usize = 4;
+const MEMBERS_PER_BUCKET: usize = 4;
 /// Maximum number of buckets that another instance may ask for.
-const MOST_PARTS: usize = 4_096;
+const MAX_BUCKETS: usize = 4_096;
 
 /// Checksums over the living members, one per bucket.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -23,12 +23,12 @@
 impl Sums {
     /// The number of buckets that suits a number of members.
     pub fn parts_for(members: usize) -> usize {
-        (members / MEMBERS_IN_PART).next_power_of_two()
+        (members / MEMBERS_PER_BUCKET).next_power_of_two()
     }
 
     /// Checksums over the cards of all living members, which include the instance's own.
     pub fn over<'a>(cards: impl Iterator<Item = &'a Card>, parts: usize) -> Sums {
-        let mut sums = Sums(vec![0; parts.clamp(1, MOST_PARTS)]);
+        let mut sums = Sums(vec![0; parts.clamp(1, MAX_BUCKETS)]);
         for card in cards {
             let id = &*card.registration.id;
             let part = sums.part_of(id);
--- a/src/gateway/traffic/budgets.rs
+++ b/src/gateway/traffic/budgets.rs
@@ -39,7 +39,8 @@
     pub(super) fn unseen(&self, view: &View, service: &str, need: Need) -> f64 {
         let sent = view.sent.get(service).filter(|_| need.prompt_tokens > 0);
         let window_ms = self.settings.repeat_window_ms.max(1);
-        sent.map_or(0.0, |sent| sent.requests as f64) * loads::DIGEST_MS as f64 / window_ms as f64
+        sent.map_or(0.0, |sent| sent.requests as f64) * loads::DIGEST_INTERVAL_MS as f64
+            / window_ms as f64
     }
 
     fn bound(&self, service: &str) -> Bound {
--- a/tests/gateway/loads.rs
+++ b/tests/gateway/loads.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use siskinrock::gateway::loads::{Digest, Held, LoadNews, Loads, Own, Places, Sent, Told};
+use siskinrock::gateway::loads::{Digest, Held, LoadUpdate, Loads, Own, Places, Sent, Told};
 
 const WINDOW_MS: u64 = 10_000;
 
@@ -12,8 +12,8 @@
     Held { runs, reserved_tokens, ..Held::nothing(upstream.into()) }
 }
 
-fn news(id: &str, incarnation: u64, count: u64) -> LoadNews {
-    LoadNews {
+fn news(id: &str, incarnation: u64, count: u64) -> LoadUpdate {
+    LoadUpdate {
         id: id.into(),
         incarnation,
         count,
@@ -40,13 +40,16 @@
 #[test]
 fn a_message_changes_what_it_names() {
     let mut loads = Loads::new("hall".into(), WINDOW_MS);
-    assert!(loads.hear(LoadNews { held: vec![held("e1", 2)], ..news("a", 1, 5) }, 0));
-    assert!(loads.hear(LoadNews { held: vec![held("e1", 1)], ..news("b", 1, 1) }, 0));
+    assert!(loads.hear(LoadUpdate { held: vec![held("e1", 2)], ..news("a", 1, 5) }, 0));
+    assert!(loads.hear(LoadUpdate { held: vec![held("e1", 1)], ..news("b", 1, 1) }, 0));
     assert_eq!(runs_at(&loads, "e1"), 3);
-    assert!(!loads.hear(LoadNews { held: vec![held("e1", 9)], ..news("a", 1, 5) }, 10), "outdated");
-    assert!(loads.hear(LoadNews { held: vec![held("e2", 1)], ..news("a", 1, 6) }, 20));
+    assert!(
+        !loads.hear(LoadUpdate { held: vec![held("e1", 9)], ..news("a", 1, 5) }, 10),
+        "outdated"
+    );
+    assert!(loads.hear(LoadUpdate { held: vec![held("e2", 1)], ..news("a", 1, 6) }, 20));
     assert_eq!((runs_at(&loads, "e1"), runs_at(&loads, "e2")), (3, 1));
-    let whole = LoadNews { is_whole: true, held: vec![held("e2", 4)], ..news("a", 1, 7) };
+    let whole = LoadUpdate { is_whole: true, held: vec![held("e2", 4)], ..news("a", 1, 7) };
     assert!(loads.hear(whole, 30));
     assert_eq!((runs_at(&loads, "e1"), runs_at(&loads, "e2")), (1, 4));
     loads.remove("a", 40);
@@ -60,11 +63,11 @@
 fn what_was_sent_by_an_instance_that_ended_counts_for_the_window() {
     let mut loads = Loads::new("hall".into(), WINDOW_MS);
     let sum = |loads: &Loads, now_ms| loads.sent(now_ms).get("plan").map_or(0, |sent| sent.repeats);
-    let first = LoadNews { sent: Some(repeats(4)), held: vec![held("e1", 2)], ..news("a", 1, 9) };
+    let first = LoadUpdate { sent: Some(repeats(4)), held: vec![held("e1", 2)], ..news("a", 1, 9) };
     loads.hear(first, 0);
-    loads.hear(LoadNews { sent: Some(repeats(5)), ..news("a", 1, 10) }, 500);
+    loads.hear(LoadUpdate { sent: Some(repeats(5)), ..news("a", 1, 10) }, 500);
     assert_eq!(sum(&loads, 500), 5);
-    loads.hear(LoadNews { sent: Some(repeats(1)), ..news("a", 2, 1) }, 2_000);
+    loads.hear(LoadUpdate { sent: Some(repeats(1)), ..news("a", 2, 1) }, 2_000);
     assert_eq!(sum(&loads, 2_000), 6, "restarted");
     assert_eq!(runs_at(&loads, "e1"), 0);
     assert_eq!(sum(&loads, 10_600), 1, "outside the window");
@@ -78,12 +81,12 @@
 #[test]
 fn a_starting_instance_hears_what_ended_ones_had_sent() {
     let mut old = Loads::new("hall".into(), WINDOW_MS);
-    old.hear(LoadNews { sent: Some(repeats(7)), ..news("gone", 1, 1) }, 0);
+    old.hear(LoadUpdate { sent: Some(repeats(7)), ..news("gone", 1, 1) }, 0);
     old.remove("gone", 50);
     let mut new = Loads::new("hall".into(), WINDOW_MS);
-    let told = LoadNews { sent_by_ended: old.own_ended(100), ..news("a", 1, 1) };
+    let told = LoadUpdate { sent_by_ended: old.own_ended(100), ..news("a", 1, 1) };
     new.hear(told.clone(), 100);
-    new.hear(LoadNews { count: 2, ..told }, 450);
+    new.hear(LoadUpdate { count: 2, ..told }, 450);
     let sum = |now_ms| new.sent(now_ms).get("plan").map_or(0, |sent| sent.repeats);
     assert_eq!(sum(500), 7, "reported twice, it counts once");
     assert!(new.own_ended(500).is_empty(), "what peers reported is not passed on as seen");
@@ -103,7 +106,7 @@
         let engine = format!("e{}", random.u32(..120));
         let id = format!("i{}", random.u32(..20));
         let held = vec![held(&engine, random.u32(..3))];
-        here.hear(LoadNews { held, ..news(&id, 1, number + 1) }, now_ms);
+        here.hear(LoadUpdate { held, ..news(&id, 1, number + 1) }, now_ms);
         own.held = vec![Held { runs: 1, ..Held::nothing("e7".into()) }];
         here.note_own(&own, now_ms);
         if random.u32(..4) == 0 {
--- a/tests/gateway/membership.rs
+++ b/tests/gateway/membership.rs
@@ -7,17 +7,18 @@
 
 use siskinrock::gateway::instance::Registration;
 use siskinrock::gateway::membership::{
-    self, Card, GOSSIP_MS, Membership, Message, PROBE_MS, Phase, Rumor, Rumors, Standing, Versions,
+    self, Card, GOSSIP_INTERVAL_MS, Membership, Message, PROBE_INTERVAL_MS, Phase, Rumor, Rumors,
+    Standing, Versions,
 };
 use siskinrock::gateway::policy::subset::Share;
 use yare::parameterized;
 
 /// How long rumors are gathered before a gossip round, as in production.
-const GATHER_MS: u64 = 5;
+const RUMOR_GATHER_MS: u64 = 5;
 /// Time within which all instances must know that one is dead, for any size of the fleet.
-const DETECTED_MS: u64 = 1_500;
+const MAX_DETECTION_MS: u64 = 1_500;
 /// Time within which a running, reachable instance must be alive in all views again.
-const HEALED_MS: u64 = 3_000;
+const MAX_RECOVERY_MS: u64 = 3_000;
 
 #[derive(Debug, Clone, PartialEq)]
 enum Event {
@@ -148,7 +149,7 @@
         match event {
             Event::Tick { .. } => {
                 instance.membership.tick(now_ms, &mut self.random);
-                self.schedule(now_ms + PROBE_MS, index, Event::Tick { life });
+                self.schedule(now_ms + PROBE_INTERVAL_MS, index, Event::Tick { life });
             }
             Event::Gossip { .. } => {
                 instance.is_gossiping = false;
@@ -196,7 +197,7 @@
         if instance.membership.has_rumors() && !instance.is_gossiping {
             instance.is_gossiping = true;
             let life = instance.life;
-            let pause_ms = if self.random.bool() { GATHER_MS } else { GOSSIP_MS };
+            let pause_ms = if self.random.bool() { RUMOR_GATHER_MS } else { GOSSIP_INTERVAL_MS };
             self.schedule(self.now_ms + pause_ms, index, Event::Gossip { life });
         }
     }
@@ -290,17 +291,17 @@
 #[parameterized(hundreds = { 300 }, thousand = { 1_000 })]
 fn a_start_of_the_whole_fleet_is_cheap(count: usize) {
     /// Time within which all instances must know each other; callers arrive later than that.
-    const MET_MS: u64 = 6_000;
+    const MAX_CONVERGENCE_MS: u64 = 6_000;
     /// Bytes that an instance sends per other instance, on average: its card reaches each of them a
     /// few times.
-    const MOST_BYTES_FOR_EACH: u64 = 500;
+    const MAX_MEAN_BYTES_PER_PEER: u64 = 500;
     /// Bytes that the busiest instance sends: its link of 10 Mbit/s carries them in a second and a
     /// half.
-    const MOST_BYTES: u64 = 1_900_000;
+    const MAX_BYTES: u64 = 1_900_000;
     let named = std::env::var("SISKINROCK_START_INSTANCES").ok();
     let count = named.and_then(|count| count.parse().ok()).unwrap_or(count);
     let mut world = World::start(count, 7);
-    let met_ms = world.settle(MET_MS);
+    let met_ms = world.settle(MAX_CONVERGENCE_MS);
     let sent: Vec<u64> = world.instances.iter().map(|instance| instance.sent_bytes).collect();
     let mean = sent.iter().sum::<u64>() / count as u64;
     let most = *sent.iter().max().expect("there are instances");
@@ -308,8 +309,8 @@
         "{count} instances knew each other after {met_ms:?} ms and sent {mean} bytes each, {most} at most"
     );
     assert!(met_ms.is_some(), "{count} instances don't know each other");
-    assert!(mean <= MOST_BYTES_FOR_EACH * count as u64, "{mean} bytes each");
-    assert!(most <= MOST_BYTES, "{most} bytes");
+    assert!(mean <= MAX_MEAN_BYTES_PER_PEER * count as u64, "{mean} bytes each");
+    assert!(most <= MAX_BYTES, "{most} bytes");
 }
 
 /// A rumor that other instances send as well is sent in fewer rounds.
@@ -353,8 +354,11 @@
     world.settle(5_000).expect("all know each other");
     for index in 3..8 {
         world.kill(index);
-        let found_ms = world.settle(2 * DETECTED_MS).expect("its death is detected");
-        assert!(found_ms <= DETECTED_MS, "detected after {found_ms} ms among {count} instances");
+        let found_ms = world.settle(2 * MAX_DETECTION_MS).expect("its death is detected");
+        assert!(
+            found_ms <= MAX_DETECTION_MS,
+            "detected after {found_ms} ms among {count} instances"
+        );
     }
 }
 
@@ -364,8 +368,8 @@
     let mut world = World::start(195, 13);
     world.settle(5_000).expect("all know each other");
     (0..195).filter(|index| index % 5 == 4).for_each(|index| world.kill(index));
-    let found_ms = world.settle(4 * DETECTED_MS).expect("all deaths are detected");
-    assert!(found_ms <= 2 * DETECTED_MS, "{found_ms} ms");
+    let found_ms = world.settle(4 * MAX_DETECTION_MS).expect("all deaths are detected");
+    assert!(found_ms <= 2 * MAX_DETECTION_MS, "{found_ms} ms");
 }
 
 /// A process with a CPU quota stalls for some hundred milliseconds.
@@ -395,7 +399,7 @@
     world.run_until(world.now_ms + 3_900);
     assert_eq!(world.views_of(4), 0);
     world.run_until(world.now_ms + 150);
-    let healed_ms = world.settle(HEALED_MS);
+    let healed_ms = world.settle(MAX_RECOVERY_MS);
     assert!(healed_ms.is_some(), "an instance still takes it for dead");
 }
 
@@ -410,7 +414,7 @@
     assert_eq!(alive, 29, "it still takes the others for alive");
     assert_eq!(world.views_of(4), 0, "the others take it for dead");
     world.run_until(world.now_ms + 200);
-    assert!(world.settle(HEALED_MS).is_some());
+    assert!(world.settle(MAX_RECOVERY_MS).is_some());
 }
 
 /// A restart under the same id, also with a clock that was set back in between.
@@ -421,8 +425,8 @@
     world.kill(4);
     world.run_until(world.now_ms + 200);
     world.restart(4, version);
-    world.run_until(world.now_ms + HEALED_MS);
-    assert!(world.settle(HEALED_MS).is_some());
+    world.run_until(world.now_ms + MAX_RECOVERY_MS);
+    assert!(world.settle(MAX_RECOVERY_MS).is_some());
     let id = "edge-4";
     for other in world.instances.iter().filter(|other| other.membership.me().id.as_ref() != id) {
         let known = other.membership.get(id).expect("it is known");
@@ -443,23 +447,23 @@
     world.instances[4].membership.leave(&mut fastrand::Rng::with_seed(3));
     world.flush(4);
     world.kill(4);
-    let found_ms = world.settle(DETECTED_MS).expect("its end is known to all");
+    let found_ms = world.settle(MAX_DETECTION_MS).expect("its end is known to all");
     assert!(found_ms <= 400, "{found_ms} ms");
 }
 
 /// What an instance sends must not grow with the fleet: most links carry 10 Mbit/s.
 #[parameterized(nine = { 9 }, thirty = { 30 }, hundred = { 100 }, many = { 361 })]
 fn a_quiet_fleet_costs_each_instance_the_same(count: usize) {
-    const MOST_MESSAGES_A_SECOND: u64 = 25;
-    const MOST_BYTES_A_SECOND: u64 = 6_000;
+    const MAX_MESSAGES_PER_S: u64 = 25;
+    const MAX_BYTES_PER_S: u64 = 6_000;
     let mut world = World::start(count, 37);
     world.run_until(8_000);
     world.instances.iter_mut().for_each(|instance| (instance.sent, instance.sent_bytes) = (0, 0));
     world.run_until(18_000);
     for (index, instance) in world.instances.iter().enumerate() {
         let (messages, bytes) = (instance.sent / 10, instance.sent_bytes / 10);
-        assert!(messages <= MOST_MESSAGES_A_SECOND, "edge-{index} sends {messages} a second");
-        assert!(bytes <= MOST_BYTES_A_SECOND, "edge-{index} sends {bytes} bytes a second");
+        assert!(messages <= MAX_MESSAGES_PER_S, "edge-{index} sends {messages} a second");
+        assert!(bytes <= MAX_BYTES_PER_S, "edge-{index} sends {bytes} bytes a second");
     }
 }
 
@@ -499,7 +503,7 @@
         world.loss = 0.0;
         world.longest_delay_ms = 3;
         played += world.run_until(world.now_ms + 3_000);
-        assert!(world.settle(3 * HEALED_MS).is_some(), "views differ at {} ms", world.now_ms);
+        assert!(world.settle(3 * MAX_RECOVERY_MS).is_some(), "views differ at {} ms", world.now_ms);
     }
 }
 
