--- a/src/gateway/control.rs
+++ b/src/gateway/control.rs
@@ -33,7 +33,7 @@
 use super::directory::Directory;
 use super::fleet::Fleet;
 use super::instance::Registration;
-use super::loads::{Loads, Told, UpstreamSubset};
+use super::loads::{PeerLoads, ReportedTraffic, UpstreamSubset};
 use super::membership::{Membership, Phase, Standing, Versions};
 use super::metrics::Metrics;
 use super::policy::active;
@@ -66,7 +66,7 @@
     found: Found,
     has_fleet: bool,
     membership: Membership,
-    loads: Loads,
+    loads: PeerLoads,
     /// Requests that crash upstreams.
     quarantine: Quarantine,
     /// The version of it that traffic has.
@@ -102,7 +102,7 @@
     /// Peers heard of changes while this instance did not: the outage was its own.
     is_outage_own: bool,
     messages: u64,
-    told: Told,
+    told: ReportedTraffic,
     /// Whether the last whole message on the traffic here said that there is none.
     has_told_nothing: bool,
     /// What peers were told that this instance knows.
@@ -210,7 +210,7 @@
             found: Found::default(),
             has_fleet: false,
             membership: Membership::new(me.clone(), settings.link_mbps, &contacts, start_version()),
-            loads: Loads::new(Arc::clone(&settings.domain), window_ms),
+            loads: PeerLoads::new(Arc::clone(&settings.domain), window_ms),
             quarantine: Quarantine::default(),
             quarantine_version: 0,
             limiter: Limiter::default(),
@@ -231,7 +231,7 @@
             is_watching: false,
             is_outage_own: false,
             messages: 0,
-            told: Told::default(),
+            told: ReportedTraffic::default(),
             has_told_nothing: false,
             told_versions: Versions::default(),
             pushed: VecDeque::new(),
--- a/src/gateway/control/duties.rs
+++ b/src/gateway/control/duties.rs
@@ -9,7 +9,7 @@
 
 use super::super::directory::Fault;
 use super::super::duties::{DutyCalls, Fence, Report, Written};
-use super::super::loads::Held;
+use super::super::loads::UpstreamLoad;
 use super::super::membership::{Message, Phase};
 use super::super::policy::lease::{Action, Try};
 use super::super::policy::scaling::{Known, Order, Scaler, Seen};
@@ -305,7 +305,7 @@
             }
             let held = board.loads.held();
             let others = of_service().filter_map(|upstream| held.get(&upstream.id));
-            let is_of_service = |held: &&Held| {
+            let is_of_service = |held: &&UpstreamLoad| {
                 let upstream = board.fleet.upstreams.get(&held.upstream);
                 upstream.is_some_and(|upstream| upstream.service == *name)
             };
--- a/src/gateway/loads/message.rs
+++ b/src/gateway/loads/message.rs
@@ -8,7 +8,7 @@
 
 use super::super::fleet::Delta;
 use super::super::policy::subset::Share;
-use super::own::{Held, Sent};
+use super::own::{SentRequests, UpstreamLoad};
 
 /// The traffic of one instance, for the other instances of its failure domain.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -22,11 +22,11 @@
     /// Whether the sender has no load at the upstreams that are not listed here.
     pub is_whole: bool,
     /// The sender's load at upstreams.
-    pub held: Vec<Held>,
+    pub held: Vec<UpstreamLoad>,
     /// The requests it sent recently, if their number changed.
-    pub sent: Option<Vec<Sent>>,
+    pub sent: Option<Vec<SentRequests>>,
     /// The requests sent by instances of its failure domain that have ended since.
-    pub sent_by_ended: Vec<Sent>,
+    pub sent_by_ended: Vec<SentRequests>,
     /// Engines that read a prompt prefix, by the hash of the prefix.
     pub places: Vec<(u64, Arc<str>)>,
 }
@@ -37,9 +37,9 @@
     /// The failure domain.
     pub domain: Arc<str>,
     /// Their load at upstreams where it changed recently, and at some others.
-    pub held: Vec<Held>,
+    pub held: Vec<UpstreamLoad>,
     /// The requests they sent recently.
-    pub sent: Vec<Sent>,
+    pub sent: Vec<SentRequests>,
     /// Engines that read a prompt prefix, as far as this is new.
     pub places: Vec<(u64, Arc<str>)>,
     /// Whether the receiver forwards it within its failure domain.
--- a/src/gateway/loads/mod.rs
+++ b/src/gateway/loads/mod.rs
@@ -12,6 +12,6 @@
 mod places;
 
 pub use self::message::{Changes, Digest, LoadUpdate, UpstreamSubset};
-pub use self::own::{Held, Own, Sent, Told};
-pub use self::picture::{DIGEST_INTERVAL_MS, Loads};
-pub use self::places::Places;
+pub use self::own::{LocalTraffic, ReportedTraffic, SentRequests, UpstreamLoad};
+pub use self::picture::{DIGEST_INTERVAL_MS, PeerLoads};
+pub use self::places::CacheLocations;
--- a/src/gateway/loads/own.rs
+++ b/src/gateway/loads/own.rs
@@ -6,7 +6,7 @@
 
 /// The load at one upstream.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Held {
+pub struct UpstreamLoad {
     /// Id of the upstream.
     pub upstream: Arc<str>,
     /// Number of requests that run there.
@@ -21,19 +21,26 @@
     pub reserved_tokens: u64,
 }
 
-impl Held {
+impl UpstreamLoad {
     /// No load at an upstream.
-    pub fn nothing(upstream: Arc<str>) -> Held {
-        Held { upstream, runs: 0, copies: 0, reading: 0, pending_tokens: 0, reserved_tokens: 0 }
+    pub fn empty(upstream: Arc<str>) -> UpstreamLoad {
+        UpstreamLoad {
+            upstream,
+            runs: 0,
+            copies: 0,
+            reading: 0,
+            pending_tokens: 0,
+            reserved_tokens: 0,
+        }
     }
 
     /// Whether there is no load.
-    pub fn is_nothing(&self) -> bool {
+    pub fn is_empty(&self) -> bool {
         self.runs + self.copies + self.reading == 0
     }
 
     /// Adds another load at the same upstream.
-    pub fn add(&mut self, other: &Held) {
+    pub fn add(&mut self, other: &UpstreamLoad) {
         self.runs += other.runs;
         self.copies += other.copies;
         self.reading += other.reading;
@@ -42,7 +49,7 @@
     }
 
     /// Subtracts a load that was added before.
-    pub fn take_away(&mut self, other: &Held) {
+    pub fn take_away(&mut self, other: &UpstreamLoad) {
         self.runs = self.runs.saturating_sub(other.runs);
         self.copies = self.copies.saturating_sub(other.copies);
         self.reading = self.reading.saturating_sub(other.reading);
@@ -53,7 +60,7 @@
 
 /// Number of requests sent to a service within the window of the retry budget.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Sent {
+pub struct SentRequests {
     /// Name of the service.
     pub service: Arc<str>,
     /// Requests from callers.
@@ -64,11 +71,11 @@
 
 /// All that an instance reports about its traffic.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Own {
+pub struct LocalTraffic {
     /// Its load at upstreams.
-    pub held: Vec<Held>,
+    pub held: Vec<UpstreamLoad>,
     /// The requests it sent recently.
-    pub sent: Vec<Sent>,
+    pub sent: Vec<SentRequests>,
     /// Upstreams that it lost recently.
     pub lost: Vec<Arc<str>>,
     /// Engines that read a prompt prefix, by the hash of the prefix. A caller whose instance died
@@ -80,9 +87,9 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Change {
     /// The load at upstreams where it changed.
-    pub held: Vec<Held>,
+    pub held: Vec<UpstreamLoad>,
     /// The requests it sent recently, if their number changed.
-    pub sent: Option<Vec<Sent>>,
+    pub sent: Option<Vec<SentRequests>>,
     /// Upstreams that it lost since.
     pub lost: Vec<Arc<str>>,
     /// Engines that read a prompt prefix, as far as this is new.
@@ -91,14 +98,14 @@
 
 /// What was reported so far.
 #[derive(Debug, Clone, Default)]
-pub struct Told {
-    own: Own,
+pub struct ReportedTraffic {
+    own: LocalTraffic,
 }
 
-impl Told {
+impl ReportedTraffic {
     /// Returns what has to be reported now, if anything, and records it as reported. A change in the
     /// number of sent requests alone is not reported, because each request changes it.
-    pub fn take(&mut self, own: Own) -> Option<Change> {
+    pub fn take(&mut self, own: LocalTraffic) -> Option<Change> {
         let change = self.change(&own);
         if change.held.is_empty() && change.lost.is_empty() && change.places.is_empty() {
             return None;
@@ -107,13 +114,13 @@
         Some(change)
     }
 
-    fn change(&self, own: &Own) -> Change {
-        let is_changed = |held: &&Held| !self.own.held.contains(held);
-        let mut held: Vec<Held> = own.held.iter().filter(is_changed).cloned().collect();
+    fn change(&self, own: &LocalTraffic) -> Change {
+        let is_changed = |held: &&UpstreamLoad| !self.own.held.contains(held);
+        let mut held: Vec<UpstreamLoad> = own.held.iter().filter(is_changed).cloned().collect();
         let is_left =
-            |before: &&Held| !own.held.iter().any(|held| held.upstream == before.upstream);
+            |before: &&UpstreamLoad| !own.held.iter().any(|held| held.upstream == before.upstream);
         let emptied = self.own.held.iter().filter(is_left);
-        held.extend(emptied.map(|before| Held::nothing(Arc::clone(&before.upstream))));
+        held.extend(emptied.map(|before| UpstreamLoad::empty(Arc::clone(&before.upstream))));
         let is_new_loss = |id: &&Arc<str>| !self.own.lost.contains(id);
         let is_new_place = |place: &&(u64, Arc<str>)| !self.own.places.contains(place);
         Change {
--- a/src/gateway/loads/picture.rs
+++ b/src/gateway/loads/picture.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 
 use super::message::{Digest, LoadUpdate};
-use super::own::{Held, Own, Sent};
-use super::places::Places;
+use super::own::{LocalTraffic, SentRequests, UpstreamLoad};
+use super::places::CacheLocations;
 use crate::decide::Random;
 
 /// Average interval between two digests of a failure domain at each of the others, in milliseconds.
@@ -28,50 +28,50 @@
 struct Origin {
     incarnation: u64,
     count: u64,
-    held: BTreeMap<Arc<str>, Held>,
-    sent: Vec<Sent>,
+    held: BTreeMap<Arc<str>, UpstreamLoad>,
+    sent: Vec<SentRequests>,
     heard_ms: u64,
 }
 
 /// Another failure domain.
 #[derive(Debug, Default)]
 struct Far {
-    held: BTreeMap<Arc<str>, (Held, u64)>,
-    sent: Vec<Sent>,
+    held: BTreeMap<Arc<str>, (UpstreamLoad, u64)>,
+    sent: Vec<SentRequests>,
     heard_ms: u64,
 }
 
 /// The requests sent by an instance that has ended, or by several.
 #[derive(Debug)]
 struct Ended {
-    sent: Vec<Sent>,
+    sent: Vec<SentRequests>,
     heard_ms: u64,
 }
 
 /// The traffic of the other instances, as far as it is known.
 #[derive(Debug)]
-pub struct Loads {
+pub struct PeerLoads {
     domain: Arc<str>,
     /// Window of the retry budget, in which sent requests count.
     window_ms: u64,
     near: BTreeMap<Arc<str>, Origin>,
-    near_sum: BTreeMap<Arc<str>, Held>,
+    near_sum: BTreeMap<Arc<str>, UpstreamLoad>,
     far: BTreeMap<Arc<str>, Far>,
-    sum: Arc<BTreeMap<Arc<str>, Held>>,
-    mine: BTreeMap<Arc<str>, Held>,
+    sum: Arc<BTreeMap<Arc<str>, UpstreamLoad>>,
+    mine: BTreeMap<Arc<str>, UpstreamLoad>,
     changed_ms: BTreeMap<Arc<str>, u64>,
     ended: Vec<Ended>,
     /// What peers reported about ended instances; an instance that has just started has seen none of
     /// them end.
     told_of_ended: Option<Ended>,
-    places: Places,
+    places: CacheLocations,
     new_places: Vec<(u64, Arc<str>, u64)>,
 }
 
-impl Loads {
+impl PeerLoads {
     /// Creates the state of an instance of a failure domain that has received nothing yet.
-    pub fn new(domain: Arc<str>, window_ms: u64) -> Loads {
-        Loads {
+    pub fn new(domain: Arc<str>, window_ms: u64) -> PeerLoads {
+        PeerLoads {
             domain,
             window_ms,
             near: BTreeMap::new(),
@@ -82,18 +82,18 @@
             changed_ms: BTreeMap::new(),
             ended: Vec::new(),
             told_of_ended: None,
-            places: Places::default(),
+            places: CacheLocations::default(),
             new_places: Vec::new(),
         }
     }
 
     /// The load of all other instances, by upstream.
-    pub fn held(&self) -> Arc<BTreeMap<Arc<str>, Held>> {
+    pub fn held(&self) -> Arc<BTreeMap<Arc<str>, UpstreamLoad>> {
         Arc::clone(&self.sum)
     }
 
     /// The engines that read prompt prefixes.
-    pub fn places(&self) -> Places {
+    pub fn places(&self) -> CacheLocations {
         self.places.clone()
     }
 
@@ -120,7 +120,7 @@
         if news.is_whole {
             let is_left = |id: &&Arc<str>| !held.iter().any(|held| held.upstream == **id);
             let emptied: Vec<Arc<str>> = origin.held.keys().filter(is_left).cloned().collect();
-            held.extend(emptied.into_iter().map(Held::nothing));
+            held.extend(emptied.into_iter().map(UpstreamLoad::empty));
         }
         if let Some(sent) = news.sent {
             origin.sent = sent;
@@ -138,15 +138,15 @@
         true
     }
 
-    fn set_near(&mut self, id: &Arc<str>, held: Held, now_ms: u64) {
+    fn set_near(&mut self, id: &Arc<str>, held: UpstreamLoad, now_ms: u64) {
         let upstream = Arc::clone(&held.upstream);
         let Some(origin) = self.near.get_mut(id) else { return };
-        let before = if held.is_nothing() {
+        let before = if held.is_empty() {
             origin.held.remove(&upstream)
         } else {
             origin.held.insert(Arc::clone(&upstream), held.clone())
         };
-        if before.as_ref() == Some(&held) || (before.is_none() && held.is_nothing()) {
+        if before.as_ref() == Some(&held) || (before.is_none() && held.is_empty()) {
             return;
         }
         change(&mut self.near_sum, before.as_ref(), &held);
@@ -159,18 +159,18 @@
     pub fn remove(&mut self, id: &str, now_ms: u64) {
         let Some(origin) = self.near.remove(id) else { return };
         for before in origin.held.values() {
-            let nothing = Held::nothing(Arc::clone(&before.upstream));
-            change(&mut self.near_sum, Some(before), &nothing);
-            change(Arc::make_mut(&mut self.sum), Some(before), &nothing);
+            let empty = UpstreamLoad::empty(Arc::clone(&before.upstream));
+            change(&mut self.near_sum, Some(before), &empty);
+            change(Arc::make_mut(&mut self.sum), Some(before), &empty);
             self.changed_ms.insert(Arc::clone(&before.upstream), now_ms);
         }
         self.ended.push(Ended { sent: origin.sent, heard_ms: origin.heard_ms });
     }
 
     /// Records this instance's own load, for the digest of its failure domain.
-    pub fn note_own(&mut self, own: &Own, now_ms: u64) {
+    pub fn note_own(&mut self, own: &LocalTraffic, now_ms: u64) {
         let mine = own.held.iter().map(|held| (Arc::clone(&held.upstream), held.clone()));
-        let mine: BTreeMap<Arc<str>, Held> = mine.collect();
+        let mine: BTreeMap<Arc<str>, UpstreamLoad> = mine.collect();
         let before = std::mem::take(&mut self.mine);
         for id in before.keys().chain(mine.keys()) {
             if before.get(id) != mine.get(id) {
@@ -188,7 +188,7 @@
     }
 
     /// Summarises the traffic of all instances of this failure domain, for the other domains.
-    pub fn digest(&mut self, own: &Own, now_ms: u64, random: &mut dyn Random) -> Digest {
+    pub fn digest(&mut self, own: &LocalTraffic, now_ms: u64, random: &mut dyn Random) -> Digest {
         self.changed_ms.retain(|_, at_ms| *at_ms + CHANGE_REPEAT_MS > now_ms);
         self.new_places.retain(|(_, _, at_ms)| at_ms + CHANGE_REPEAT_MS > now_ms);
         let mut told: Vec<Arc<str>> = self.changed_ms.keys().cloned().collect();
@@ -209,9 +209,9 @@
         }
     }
 
-    fn of_domain(&self, id: Arc<str>) -> Held {
+    fn of_domain(&self, id: Arc<str>) -> UpstreamLoad {
         let mut held =
-            self.near_sum.get(&id).cloned().unwrap_or_else(|| Held::nothing(Arc::clone(&id)));
+            self.near_sum.get(&id).cloned().unwrap_or_else(|| UpstreamLoad::empty(Arc::clone(&id)));
         if let Some(mine) = self.mine.get(&id) {
             held.add(mine);
         }
@@ -227,7 +227,7 @@
         far.heard_ms = now_ms;
         far.sent = digest.sent;
         for held in digest.held {
-            let before = if held.is_nothing() {
+            let before = if held.is_empty() {
                 far.held.remove(&held.upstream)
             } else {
                 far.held.insert(Arc::clone(&held.upstream), (held.clone(), now_ms))
@@ -254,8 +254,8 @@
             far.held.retain(|_, (held, told_ms)| {
                 let is_kept = *told_ms + REMOTE_LOAD_TTL_MS > now_ms;
                 if !is_kept {
-                    let nothing = Held::nothing(Arc::clone(&held.upstream));
-                    change(Arc::make_mut(sum), Some(held), &nothing);
+                    let empty = UpstreamLoad::empty(Arc::clone(&held.upstream));
+                    change(Arc::make_mut(sum), Some(held), &empty);
                     is_any = true;
                 }
                 is_kept
@@ -266,7 +266,7 @@
 
     /// The requests that the other instances sent to each service within the window. Instances that
     /// have ended since are included, because the upstreams received their requests.
-    pub fn sent(&self, now_ms: u64) -> BTreeMap<Arc<str>, Sent> {
+    pub fn sent(&self, now_ms: u64) -> BTreeMap<Arc<str>, SentRequests> {
         let far = self.far.values().filter(|far| far.heard_ms + self.window_ms > now_ms);
         let far = far.flat_map(|far| &far.sent);
         let near = self.near.values().flat_map(|origin| &origin.sent);
@@ -280,7 +280,7 @@
     /// The requests that other instances of this failure domain sent within the window and that have
     /// ended since: for each service, the larger of what this instance saw and what its peers
     /// reported.
-    fn sent_by_ended(&self, now_ms: u64) -> Vec<Sent> {
+    fn sent_by_ended(&self, now_ms: u64) -> Vec<SentRequests> {
         let mut seen = sum(self.own_ended(now_ms).iter());
         let told = self.told_of_ended.as_ref();
         let told = told.filter(|told| told.heard_ms + self.window_ms > now_ms);
@@ -293,12 +293,12 @@
     }
 
     /// The same as this instance saw it itself, which is what it reports to its peers.
-    pub fn own_ended(&self, now_ms: u64) -> Vec<Sent> {
+    pub fn own_ended(&self, now_ms: u64) -> Vec<SentRequests> {
         let ended = self.ended.iter().filter(|ended| ended.heard_ms + self.window_ms > now_ms);
         sum(ended.flat_map(|ended| &ended.sent)).into_values().collect()
     }
 
-    fn sent_near(&self, own: &Own, now_ms: u64) -> Vec<Sent> {
+    fn sent_near(&self, own: &LocalTraffic, now_ms: u64) -> Vec<SentRequests> {
         let near = self.near.values().flat_map(|origin| &origin.sent).chain(&own.sent);
         let mut sums = sum(near);
         for ended in self.sent_by_ended(now_ms) {
@@ -309,19 +309,23 @@
 }
 
 /// Replaces one instance's load at an upstream within a total.
-fn change(sums: &mut BTreeMap<Arc<str>, Held>, before: Option<&Held>, now: &Held) {
+fn change(
+    sums: &mut BTreeMap<Arc<str>, UpstreamLoad>,
+    before: Option<&UpstreamLoad>,
+    now: &UpstreamLoad,
+) {
     let id = Arc::clone(&now.upstream);
-    let sum = sums.entry(Arc::clone(&id)).or_insert_with(|| Held::nothing(Arc::clone(&id)));
+    let sum = sums.entry(Arc::clone(&id)).or_insert_with(|| UpstreamLoad::empty(Arc::clone(&id)));
     if let Some(before) = before {
         sum.take_away(before);
     }
     sum.add(now);
-    if sum.is_nothing() {
+    if sum.is_empty() {
         sums.remove(&id);
     }
 }
 
-fn sum<'a>(all: impl Iterator<Item = &'a Sent>) -> BTreeMap<Arc<str>, Sent> {
+fn sum<'a>(all: impl Iterator<Item = &'a SentRequests>) -> BTreeMap<Arc<str>, SentRequests> {
     let mut sums = BTreeMap::new();
     for sent in all {
         add(&mut sums, sent);
@@ -329,10 +333,10 @@
     sums
 }
 
-fn add(sums: &mut BTreeMap<Arc<str>, Sent>, sent: &Sent) {
+fn add(sums: &mut BTreeMap<Arc<str>, SentRequests>, sent: &SentRequests) {
     let service = Arc::clone(&sent.service);
-    let nothing = || Sent { service, requests: 0, repeats: 0 };
-    let sum = sums.entry(Arc::clone(&sent.service)).or_insert_with(nothing);
+    let empty = || SentRequests { service, requests: 0, repeats: 0 };
+    let sum = sums.entry(Arc::clone(&sent.service)).or_insert_with(empty);
     sum.requests += sent.requests;
     sum.repeats += sent.repeats;
 }
--- a/src/gateway/loads/places.rs
+++ b/src/gateway/loads/places.rs
@@ -18,11 +18,11 @@
 
 /// Engines that read prompt prefixes. Clones share the entries.
 #[derive(Debug, Clone, Default)]
-pub struct Places {
+pub struct CacheLocations {
     steps: VecDeque<Step>,
 }
 
-impl Places {
+impl CacheLocations {
     /// Records that an engine read a prompt prefix.
     pub fn add(&mut self, part: u64, upstream: Arc<str>, now_ms: u64) {
         self.forget(now_ms);
--- a/src/gateway/traffic.rs
+++ b/src/gateway/traffic.rs
@@ -29,7 +29,7 @@
 use super::failure::Failure;
 use super::fleet::Fleet;
 use super::job::Job;
-use super::loads::{Held, Own, Sent};
+use super::loads::{LocalTraffic, SentRequests, UpstreamLoad};
 use super::metrics::Metrics;
 use super::policy::admission::Load;
 use super::policy::budget::Budget;
@@ -404,17 +404,17 @@
 
     /// Notes what runs here and what was lost, for the next message.
     fn note_own(&self) {
-        let mut own = Own::default();
+        let mut own = LocalTraffic::default();
         let places = self.places.borrow();
         let placed = places.iter().flat_map(|(part, at)| at.iter().map(|at| (*part, at)));
         own.places = placed.map(|(part, at)| (part, Arc::clone(&at.upstream))).collect();
         for (service, budget) in self.budgets.borrow().iter() {
             let (requests, repeats) = budget.sums();
-            own.sent.push(Sent { service: Arc::clone(service), requests, repeats });
+            own.sent.push(SentRequests { service: Arc::clone(service), requests, repeats });
         }
         own.lost = self.losses.borrow().own();
         for worker in self.workers.borrow().values() {
-            let held = Held {
+            let held = UpstreamLoad {
                 upstream: Arc::clone(&worker.upstream.id),
                 runs: worker.runs.get(),
                 copies: worker.copies.get(),
@@ -422,7 +422,7 @@
                 pending_tokens: worker.pending_tokens.get(),
                 reserved_tokens: worker.reserved_tokens.get(),
             };
-            if !held.is_nothing() {
+            if !held.is_empty() {
                 own.held.push(held);
             }
         }
--- a/src/gateway/view.rs
+++ b/src/gateway/view.rs
@@ -11,7 +11,7 @@
 use super::crash::Crash;
 use super::fingerprint::Fingerprint;
 use super::fleet::{Departure, Fleet};
-use super::loads::{Held, Own, Places, Sent};
+use super::loads::{CacheLocations, LocalTraffic, SentRequests, UpstreamLoad};
 use super::membership::Phase;
 use super::policy::departures::Departures;
 use super::policy::named_rates::NamedRates;
@@ -40,13 +40,13 @@
     /// The services that are too large to be held whole.
     pub large: BTreeSet<Arc<str>>,
     /// What the others have running at upstreams.
-    pub others: Arc<BTreeMap<Arc<str>, Held>>,
+    pub others: Arc<BTreeMap<Arc<str>, UpstreamLoad>>,
     /// Upstreams that others lost in the last moments.
     pub lost: Arc<Vec<Arc<str>>>,
     /// What the others sent lately, by service.
-    pub sent: Arc<BTreeMap<Arc<str>, Sent>>,
+    pub sent: Arc<BTreeMap<Arc<str>, SentRequests>>,
     /// Which engines read a part of a prompt, as others told.
-    pub places: Places,
+    pub places: CacheLocations,
     /// Requests that crashed upstreams, and whether they are quarantined.
     pub quarantine: Arc<Suspects>,
     /// The rates that upstreams named to any instance.
@@ -85,7 +85,7 @@
     /// Wakes the control thread when peers should hear of traffic at once.
     pub news: Notify,
     /// What traffic here has running, and whom it lost.
-    own: Mutex<Own>,
+    own: Mutex<LocalTraffic>,
     /// Wakes the control thread when traffic here reported something of a request.
     pub reported: Notify,
     /// What the control thread has not taken yet.
@@ -172,7 +172,7 @@
             others: Arc::default(),
             lost: Arc::default(),
             sent: Arc::default(),
-            places: Places::default(),
+            places: CacheLocations::default(),
             quarantine: Arc::default(),
             named_rates: NamedRates::default(),
             departures: Departures::default(),
@@ -244,12 +244,12 @@
     }
 
     /// Replaces what is told to peers.
-    pub fn set_own(&self, own: Own) {
+    pub fn set_own(&self, own: LocalTraffic) {
         *self.own.lock().unwrap_or_else(PoisonError::into_inner) = own;
     }
 
     /// What is told to peers.
-    pub fn own(&self) -> Own {
+    pub fn own(&self) -> LocalTraffic {
         self.own.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
--- a/tests/gateway/loads.rs
+++ b/tests/gateway/loads.rs
@@ -3,13 +3,16 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use siskinrock::gateway::loads::{Digest, Held, LoadUpdate, Loads, Own, Places, Sent, Told};
+use siskinrock::gateway::loads::{
+    CacheLocations, Digest, LoadUpdate, LocalTraffic, PeerLoads, ReportedTraffic, SentRequests,
+    UpstreamLoad,
+};
 
 const WINDOW_MS: u64 = 10_000;
 
-fn held(upstream: &str, runs: u32) -> Held {
+fn held(upstream: &str, runs: u32) -> UpstreamLoad {
     let reserved_tokens = u64::from(runs) * 6_000;
-    Held { runs, reserved_tokens, ..Held::nothing(upstream.into()) }
+    UpstreamLoad { runs, reserved_tokens, ..UpstreamLoad::empty(upstream.into()) }
 }
 
 fn news(id: &str, incarnation: u64, count: u64) -> LoadUpdate {
@@ -25,21 +28,21 @@
     }
 }
 
-fn repeats(count: u64) -> Vec<Sent> {
-    vec![Sent { service: "plan".into(), requests: 10, repeats: count }]
+fn repeats(count: u64) -> Vec<SentRequests> {
+    vec![SentRequests { service: "plan".into(), requests: 10, repeats: count }]
 }
 
-fn runs(loads: &Loads) -> BTreeMap<Arc<str>, u32> {
+fn runs(loads: &PeerLoads) -> BTreeMap<Arc<str>, u32> {
     loads.held().iter().map(|(id, held)| (Arc::clone(id), held.runs)).collect()
 }
 
-fn runs_at(loads: &Loads, upstream: &str) -> u32 {
+fn runs_at(loads: &PeerLoads, upstream: &str) -> u32 {
     runs(loads).get(upstream).copied().unwrap_or(0)
 }
 
 #[test]
 fn a_message_changes_what_it_names() {
-    let mut loads = Loads::new("hall".into(), WINDOW_MS);
+    let mut loads = PeerLoads::new("hall".into(), WINDOW_MS);
     assert!(loads.hear(LoadUpdate { held: vec![held("e1", 2)], ..news("a", 1, 5) }, 0));
     assert!(loads.hear(LoadUpdate { held: vec![held("e1", 1)], ..news("b", 1, 1) }, 0));
     assert_eq!(runs_at(&loads, "e1"), 3);
@@ -61,8 +64,9 @@
 /// A new incarnation has none of the load of the previous one, whose sent requests still count.
 #[test]
 fn what_was_sent_by_an_instance_that_ended_counts_for_the_window() {
-    let mut loads = Loads::new("hall".into(), WINDOW_MS);
-    let sum = |loads: &Loads, now_ms| loads.sent(now_ms).get("plan").map_or(0, |sent| sent.repeats);
+    let mut loads = PeerLoads::new("hall".into(), WINDOW_MS);
+    let sum =
+        |loads: &PeerLoads, now_ms| loads.sent(now_ms).get("plan").map_or(0, |sent| sent.repeats);
     let first = LoadUpdate { sent: Some(repeats(4)), held: vec![held("e1", 2)], ..news("a", 1, 9) };
     loads.hear(first, 0);
     loads.hear(LoadUpdate { sent: Some(repeats(5)), ..news("a", 1, 10) }, 500);
@@ -80,10 +84,10 @@
 /// requests beyond the retry budget.
 #[test]
 fn a_starting_instance_hears_what_ended_ones_had_sent() {
-    let mut old = Loads::new("hall".into(), WINDOW_MS);
+    let mut old = PeerLoads::new("hall".into(), WINDOW_MS);
     old.hear(LoadUpdate { sent: Some(repeats(7)), ..news("gone", 1, 1) }, 0);
     old.remove("gone", 50);
-    let mut new = Loads::new("hall".into(), WINDOW_MS);
+    let mut new = PeerLoads::new("hall".into(), WINDOW_MS);
     let told = LoadUpdate { sent_by_ended: old.own_ended(100), ..news("a", 1, 1) };
     new.hear(told.clone(), 100);
     new.hear(LoadUpdate { count: 2, ..told }, 450);
@@ -98,16 +102,16 @@
 #[test]
 fn digests_bring_the_whole_picture_of_another_failure_domain() {
     let mut random = fastrand::Rng::with_seed(3);
-    let mut here = Loads::new("hall".into(), WINDOW_MS);
-    let mut there = Loads::new("pier".into(), WINDOW_MS);
-    let mut own = Own::default();
+    let mut here = PeerLoads::new("hall".into(), WINDOW_MS);
+    let mut there = PeerLoads::new("pier".into(), WINDOW_MS);
+    let mut own = LocalTraffic::default();
     for number in 0..400_u64 {
         let now_ms = number * 40;
         let engine = format!("e{}", random.u32(..120));
         let id = format!("i{}", random.u32(..20));
         let held = vec![held(&engine, random.u32(..3))];
         here.hear(LoadUpdate { held, ..news(&id, 1, number + 1) }, now_ms);
-        own.held = vec![Held { runs: 1, ..Held::nothing("e7".into()) }];
+        own.held = vec![UpstreamLoad { runs: 1, ..UpstreamLoad::empty("e7".into()) }];
         here.note_own(&own, now_ms);
         if random.u32(..4) == 0 {
             let digest = here.digest(&own, now_ms, &mut random);
@@ -132,7 +136,7 @@
 
 #[test]
 fn the_digest_of_its_own_failure_domain_changes_nothing() {
-    let mut loads = Loads::new("hall".into(), WINDOW_MS);
+    let mut loads = PeerLoads::new("hall".into(), WINDOW_MS);
     let digest = Digest {
         domain: "hall".into(),
         held: vec![held("e1", 3)],
@@ -146,27 +150,34 @@
 
 #[test]
 fn only_what_changed_is_told_and_what_ended_too() {
-    let mut told = Told::default();
-    let own = Own { held: vec![held("e1", 1)], lost: vec!["e9".into()], ..Own::default() };
+    let mut told = ReportedTraffic::default();
+    let own = LocalTraffic {
+        held: vec![held("e1", 1)],
+        lost: vec!["e9".into()],
+        ..LocalTraffic::default()
+    };
     let change = told.take(own.clone()).expect("nothing was reported before");
     assert_eq!((change.held, change.lost), (own.held.clone(), own.lost.clone()));
     assert!(told.take(own).is_none());
-    let now = Own { held: vec![held("e2", 1)], sent: repeats(1), ..Own::default() };
+    let now =
+        LocalTraffic { held: vec![held("e2", 1)], sent: repeats(1), ..LocalTraffic::default() };
     let change = told.take(now.clone()).expect("both changed");
-    assert_eq!(change.held, [held("e2", 1), Held::nothing("e1".into())]);
+    assert_eq!(change.held, [held("e2", 1), UpstreamLoad::empty("e1".into())]);
     assert_eq!(change.sent, Some(repeats(1)));
-    let more = Own { sent: repeats(2), ..now };
+    let more = LocalTraffic { sent: repeats(2), ..now };
     assert!(told.take(more).is_none(), "a change of the sent requests alone is not reported");
 }
 
 #[test]
 fn places_are_remembered_for_ten_seconds() {
-    let mut places = Places::default();
+    let mut places = CacheLocations::default();
     places.add(1, "e1".into(), 0);
     places.add(1, "e2".into(), 4_000);
     places.add(2, "e1".into(), 4_100);
     let shared = places.clone();
-    let of = |places: &Places, part| places.of(part).map(ToString::to_string).collect::<Vec<_>>();
+    let of = |places: &CacheLocations, part| {
+        places.of(part).map(ToString::to_string).collect::<Vec<_>>()
+    };
     assert_eq!(of(&places, 1), ["e1", "e2"], "the most recent one last");
     places.forget(10_500);
     assert_eq!(of(&places, 1), ["e2"]);
