--- a/src/gateway/control.rs
+++ b/src/gateway/control.rs
@@ -34,7 +34,7 @@
 use super::fleet::Fleet;
 use super::instance::Registration;
 use super::loads::{PeerLoads, ReportedTraffic, UpstreamSubset};
-use super::membership::{Membership, Phase, Standing, Versions};
+use super::membership::{MemberState, Membership, Phase, Versions};
 use super::metrics::Metrics;
 use super::policy::active;
 use super::policy::departures::Departures;
@@ -446,9 +446,9 @@
         let changed = board.membership.take_changed();
         for id in &changed {
             let Some(member) = board.membership.get(id) else { continue };
-            if member.standing == Standing::Dead {
+            if member.state == MemberState::Dead {
                 slog::info!(self.log, "peer gone"; "peer" => &**id,
-                    "version" => member.card.version);
+                    "version" => member.descriptor.version);
                 self.metrics.count("peers_gone");
                 board.loads.remove(id, now_ms);
             }
@@ -464,13 +464,15 @@
 
     /// Works out where callers are sent, and who hears of loads here.
     fn note_fronts(&self, board: &mut Board) {
-        let me = board.membership.my_card();
-        let ready = board.membership.alive().filter(|member| member.standing == Standing::Alive);
-        let ready = ready.map(|member| &member.card).filter(|card| card.phase == Phase::Ready);
+        let me = board.membership.own_descriptor();
+        let ready = board.membership.alive().filter(|member| member.state == MemberState::Alive);
+        let ready = ready
+            .map(|member| &member.descriptor)
+            .filter(|descriptor| descriptor.phase == Phase::Ready);
         let mut domains: BTreeMap<&str, Vec<(Rank, &Registration)>> = BTreeMap::new();
-        for card in ready.chain((board.phase == Phase::Ready).then_some(me)) {
-            let ranked = (card.rank(), &card.registration);
-            domains.entry(&card.registration.domain).or_default().push(ranked);
+        for descriptor in ready.chain((board.phase == Phase::Ready).then_some(me)) {
+            let ranked = (descriptor.rank(), &descriptor.registration);
+            domains.entry(&descriptor.registration.domain).or_default().push(ranked);
         }
         let active = domains.into_values().flat_map(|ranked| active::active(ranked.into_iter()));
         let front = |registration: &Registration| Front {
@@ -478,9 +480,10 @@
             domain: Arc::clone(&registration.domain),
         };
         let fronts = active.map(front).collect();
-        let near = board.membership.alive().map(|member| &member.card).chain([me]);
-        let near = near.filter(|card| card.registration.domain == self.me.domain);
-        let placing = active::active(near.map(|card| (card.rank(), &card.registration)));
+        let near = board.membership.alive().map(|member| &member.descriptor).chain([me]);
+        let near = near.filter(|descriptor| descriptor.registration.domain == self.me.domain);
+        let placing =
+            active::active(near.map(|descriptor| (descriptor.rank(), &descriptor.registration)));
         let is_placing = placing.iter().any(|registration| registration.id == self.me.id);
         let others = placing.into_iter().filter(|registration| registration.id != self.me.id);
         let placing_near = others.map(|registration| registration.peer_addr).collect();
@@ -494,7 +497,7 @@
     /// that it doesn't list.
     fn doubt_directory(&self, board: &mut Board) {
         let first_hand =
-            board.membership.alive().filter(|member| member.card.is_first_hand).count();
+            board.membership.alive().filter(|member| member.descriptor.is_first_hand).count();
         let before = std::mem::replace(&mut board.first_hand, first_hand);
         if watchers::doubts(before, first_hand) && Control::is_first_hand(board) {
             self.doubted_directory.notify_one();
@@ -529,7 +532,7 @@
     /// Whether this instance or a peer hears from the directory.
     fn is_directory_heard(board: &Board) -> bool {
         let mut alive = board.membership.alive();
-        Control::is_first_hand(board) || alive.any(|member| member.card.is_first_hand)
+        Control::is_first_hand(board) || alive.any(|member| member.descriptor.is_first_hand)
     }
 
     /// Whether the directory answers this instance, so that it hears of changes by itself.
--- a/src/gateway/control/changes.rs
+++ b/src/gateway/control/changes.rs
@@ -8,7 +8,7 @@
 
 use super::super::fleet::{Delta, Upstream};
 use super::super::loads::{Changes, UpstreamSubset};
-use super::super::membership::{Card, ChangesQuery, Message, Versions};
+use super::super::membership::{ChangesQuery, InstanceDescriptor, Message, Versions};
 use super::exchange::NEWS_MS;
 use super::{Board, Control, shares};
 
@@ -47,9 +47,12 @@
             let since = board.pushed.front().copied().unwrap_or(0);
             let changes = self.changes(&mut board);
             // Those that hold a part of the list are told that part, below.
-            let hears = |card: &Card| is_config_new || card.share.is_all();
-            let alive = board.membership.alive().map(|member| &member.card);
-            let near = alive.filter(|card| hears(card)).map(|card| &card.registration);
+            let hears =
+                |descriptor: &InstanceDescriptor| is_config_new || descriptor.share.is_all();
+            let alive = board.membership.alive().map(|member| &member.descriptor);
+            let near = alive
+                .filter(|descriptor| hears(descriptor))
+                .map(|descriptor| &descriptor.registration);
             let near = near.filter(|other| other.domain == self.me.domain);
             let mut addrs: Vec<SocketAddr> = near.map(|other| other.peer_addr).collect();
             fastrand::shuffle(&mut addrs);
@@ -105,10 +108,10 @@
         let service_of = |id: &Arc<str>| board.fleet.service_of(id);
         let gone: Vec<(Arc<str>, Arc<str>)> =
             delta.gone.iter().filter_map(|id| Some((Arc::clone(id), service_of(id)?))).collect();
-        let members = board.membership.alive().filter(|member| !member.card.share.is_all());
+        let members = board.membership.alive().filter(|member| !member.descriptor.share.is_all());
         let mut parts = Vec::new();
         for member in members {
-            let Card { registration, share, .. } = &member.card;
+            let InstanceDescriptor { registration, share, .. } = &member.descriptor;
             let part = UpstreamSubset { share: *share, large: board.part.large.clone() };
             let holds = shares::holds(&registration.id, &part);
             let is_held = |upstream: &&Upstream| holds(&upstream.id, &upstream.service);
--- a/src/gateway/control/directory.rs
+++ b/src/gateway/control/directory.rs
@@ -145,8 +145,8 @@
     }
 
     pub(super) fn turn_of(&self, board: &Board) -> Turn {
-        let first_hand = board.membership.alive().filter(|member| member.card.is_first_hand);
-        Turn::of(board.membership.my_rank(), first_hand.map(|member| member.card.rank()))
+        let first_hand = board.membership.alive().filter(|member| member.descriptor.is_first_hand);
+        Turn::of(board.membership.my_rank(), first_hand.map(|member| member.descriptor.rank()))
     }
 
     /// How many times longer than the first in rank it waits for a directory that answers nobody.
@@ -397,7 +397,7 @@
     pub(super) fn registers(&self) -> bool {
         let now_ms = self.clock.now_ms();
         let board = self.board.borrow();
-        let others = board.membership.alive().map(|member| member.card.rank());
+        let others = board.membership.alive().map(|member| member.descriptor.rank());
         let knows_others = now_ms >= REGISTER_LOOK_MS || !self.has_seeds();
         knows_others && watchers::registers(board.membership.my_rank(), others)
     }
--- a/src/gateway/control/duties.rs
+++ b/src/gateway/control/duties.rs
@@ -72,7 +72,8 @@
     fn duty_candidates(&self, board: &Board) -> Vec<SocketAddr> {
         let me = (board.membership.my_rank(), self.me.peer_addr);
         let alive = board.membership.alive();
-        let alive = alive.map(|member| (member.card.rank(), member.card.registration.peer_addr));
+        let alive = alive
+            .map(|member| (member.descriptor.rank(), member.descriptor.registration.peer_addr));
         let mut first = watchers::duty_candidates(alive.chain([me]));
         first.retain(|addr| *addr != self.me.peer_addr);
         first
--- a/src/gateway/control/exchange.rs
+++ b/src/gateway/control/exchange.rs
@@ -10,7 +10,7 @@
 use super::super::instance::Registration;
 use super::super::loads::{DIGEST_INTERVAL_MS, Digest, LoadUpdate};
 use super::super::membership::{
-    self, Card, GOSSIP_INTERVAL_MS, Message, PROBE_INTERVAL_MS, Probe, Rumor,
+    self, GOSSIP_INTERVAL_MS, InstanceDescriptor, Message, PROBE_INTERVAL_MS, Probe, Rumor,
 };
 use super::super::policy::watchers;
 use super::{Board, Control, LOST_TOLD_MS};
@@ -43,7 +43,7 @@
 
     /// The living peers of this failure domain.
     pub(super) fn near_peers(&self, board: &Board) -> Vec<SocketAddr> {
-        let alive = board.membership.alive().map(|member| &member.card.registration);
+        let alive = board.membership.alive().map(|member| &member.descriptor.registration);
         let near = alive.filter(|other| other.domain == self.me.domain);
         near.map(|other| other.peer_addr).collect()
     }
@@ -57,10 +57,12 @@
     pub(super) fn one_of_each(
         &self,
         board: &Board,
-        holds: impl Fn(&Card) -> bool,
+        holds: impl Fn(&InstanceDescriptor) -> bool,
     ) -> Vec<SocketAddr> {
-        let cards = board.membership.alive().map(|member| &member.card);
-        let alive = cards.filter(|card| holds(card)).map(|card| &card.registration);
+        let descriptors = board.membership.alive().map(|member| &member.descriptor);
+        let alive = descriptors
+            .filter(|descriptor| holds(descriptor))
+            .map(|descriptor| &descriptor.registration);
         let mut far: Vec<&Registration> =
             alive.filter(|other| other.domain != self.me.domain).collect();
         fastrand::shuffle(&mut far);
@@ -93,7 +95,7 @@
         board.fleet.expire(now_ms);
         board.guests.retain(|_, guest| guest.until_ms > now_ms);
         let is_heard = Control::is_directory_heard(&board);
-        let first_hand = board.membership.alive().filter(|member| member.card.is_first_hand);
+        let first_hand = board.membership.alive().filter(|member| member.descriptor.is_first_hand);
         let watching = first_hand.count() + usize::from(Control::is_first_hand(&board));
         if watchers::are_enough(watching) {
             board.few_watch_since_ms = None;
@@ -233,7 +235,7 @@
         self.board.borrow_mut().membership.note_heard(now_ms);
         match message {
             Message::Ping(probe) => {
-                let sender = &probe.card.registration.id;
+                let sender = &probe.descriptor.registration.id;
                 let is_new = self.board.borrow().membership.get(sender).is_none();
                 if is_new {
                     self.tell_quarantine(&[from]);
@@ -280,7 +282,7 @@
         now_ms: u64,
         hear: impl FnOnce(&mut membership::Membership, Probe),
     ) {
-        let sender = &probe.card.registration;
+        let sender = &probe.descriptor.registration;
         if sender.id == self.me.id && sender.incarnation == self.me.incarnation {
             return;
         }
@@ -302,9 +304,9 @@
     fn hear_rumors(self: &Rc<Control>, rumors: Vec<Rumor>, now_ms: u64) {
         for rumor in rumors {
             match rumor {
-                Rumor::Member { card, standing, by } => {
+                Rumor::Member { descriptor, state, by } => {
                     let mut board = self.board.borrow_mut();
-                    board.membership.hear_of(card, standing, by, now_ms);
+                    board.membership.hear_of(descriptor, state, by, now_ms);
                 }
                 Rumor::Lost(id) => self.note_lost(&mut self.board.borrow_mut(), id, now_ms),
                 Rumor::Found(upstream) => self.take_found(upstream),
@@ -334,7 +336,7 @@
         let mut board = self.board.borrow_mut();
         let sender = board.membership.get(&news.id);
         let is_here = sender.is_some_and(|sender| {
-            sender.is_alive() && sender.card.registration.domain == self.me.domain
+            sender.is_alive() && sender.descriptor.registration.domain == self.me.domain
         });
         if is_here && board.loads.hear(news, now_ms) {
             self.dirty.notify_one();
--- a/src/gateway/control/knowledge.rs
+++ b/src/gateway/control/knowledge.rs
@@ -265,7 +265,8 @@
     /// A living member for which something holds, of this failure domain if there is one.
     fn source(&self, board: &Board, holds: impl Fn(&Member) -> bool) -> Option<SocketAddr> {
         let fitting = board.membership.alive().filter(|member| holds(member));
-        let fitting: Vec<&Registration> = fitting.map(|member| &member.card.registration).collect();
+        let fitting: Vec<&Registration> =
+            fitting.map(|member| &member.descriptor.registration).collect();
         let is_near = |other: &&&Registration| other.domain == self.me.domain;
         let near: Vec<&Registration> = fitting.iter().filter(is_near).copied().collect();
         let some = if near.is_empty() { fitting } else { near };
@@ -280,7 +281,7 @@
         }
         let known = Control::versions(board).fleet;
         let holds_newer =
-            |member: &Member| member.card.share.is_all() && member.versions.fleet > known;
+            |member: &Member| member.descriptor.share.is_all() && member.versions.fleet > known;
         let is_told = !board.part.share.is_all();
         if board.has_fleet && board.wanted_share.is_none() && !is_told {
             return self.source(board, holds_newer);
@@ -319,7 +320,11 @@
 
     /// Where those are reached that hold the whole list, as far as their rank says.
     pub(super) fn list_holders(board: &Board) -> impl Iterator<Item = SocketAddr> {
-        board.membership.keepers().into_iter().map(|member| member.card.registration.peer_addr)
+        board
+            .membership
+            .keepers()
+            .into_iter()
+            .map(|member| member.descriptor.registration.peer_addr)
     }
 
     fn take_pages(&self, pages: Pages, from: SocketAddr) {
--- a/src/gateway/control/permits.rs
+++ b/src/gateway/control/permits.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use super::super::membership::{Message, PermitQuery, Phase, Standing};
+use super::super::membership::{MemberState, Message, PermitQuery, Phase};
 use super::super::policy::rate_limit::{self, Liveness};
 use super::super::rate::{Permit, Rate};
 use super::super::view::PermitRequest;
@@ -34,15 +34,14 @@
     /// Where the owner of an upstream's bucket is reached; `None` if that is this instance.
     fn bucket_owner(&self, board: &Board, upstream: &str) -> Option<SocketAddr> {
         let takes_part = |phase: Phase| phase != Phase::Starting;
-        let others = board
-            .membership
-            .alive()
-            .filter(|member| member.standing == Standing::Alive && takes_part(member.card.phase));
-        let ids = others.map(|member| &member.card.registration.id);
+        let others = board.membership.alive().filter(|member| {
+            member.state == MemberState::Alive && takes_part(member.descriptor.phase)
+        });
+        let ids = others.map(|member| &member.descriptor.registration.id);
         let me = takes_part(board.phase).then_some(&self.me.id);
         let owner = rate_limit::bucket_owner(upstream, ids.chain(me))?;
         let owner = board.membership.get(owner)?;
-        Some(owner.card.registration.peer_addr)
+        Some(owner.descriptor.registration.peer_addr)
     }
 
     fn grant(&self, board: &mut Board, upstream: &Arc<str>, rate: Rate) -> Permit {
--- a/src/gateway/control/quarantine.rs
+++ b/src/gateway/control/quarantine.rs
@@ -180,8 +180,11 @@
         if board.quarantine.is_empty() {
             return;
         }
-        let alive: Vec<SocketAddr> =
-            board.membership.alive().map(|member| member.card.registration.peer_addr).collect();
+        let alive: Vec<SocketAddr> = board
+            .membership
+            .alive()
+            .map(|member| member.descriptor.registration.peer_addr)
+            .collect();
         drop(board);
         if let Some(addr) = fastrand::choice(alive) {
             self.tell_quarantine(&[addr]);
--- a/src/gateway/control/signals.rs
+++ b/src/gateway/control/signals.rs
@@ -77,8 +77,11 @@
         if news.is_empty() {
             return;
         }
-        let alive: Vec<SocketAddr> =
-            board.membership.alive().map(|member| member.card.registration.peer_addr).collect();
+        let alive: Vec<SocketAddr> = board
+            .membership
+            .alive()
+            .map(|member| member.descriptor.registration.peer_addr)
+            .collect();
         drop(board);
         if let Some(addr) = fastrand::choice(alive) {
             self.send(&Message::Signals(news), &[addr]);
--- a/src/gateway/control/successors.rs
+++ b/src/gateway/control/successors.rs
@@ -48,7 +48,7 @@
         {
             return false;
         }
-        let alive = board.membership.alive().map(|member| &member.card.registration.id);
+        let alive = board.membership.alive().map(|member| &member.descriptor.registration.id);
         let before = alive.filter(|id| **id < self.me.id);
         before.count() < SEEKERS
     }
--- a/src/gateway/membership/card.rs
+++ b/src/gateway/membership/descriptor.rs
@@ -35,7 +35,7 @@
 
 /// What an instance publishes about itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Card {
+pub struct InstanceDescriptor {
     /// Its id and addresses.
     pub registration: Registration,
     /// Raised only by the instance itself, with each change and to refute a suspicion; the highest
@@ -51,7 +51,7 @@
     pub share: Share,
 }
 
-impl Card {
+impl InstanceDescriptor {
     /// Its rank in the fleet.
     pub fn rank(&self) -> Rank {
         watchers::rank(&self.registration.id, self.link_mbps)
@@ -61,7 +61,7 @@
 /// Whether an instance is believed to be alive. Within one version, a later variant overrides an
 /// earlier one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Standing {
+pub enum MemberState {
     /// It is alive.
     #[serde(rename = "a")]
     Alive,
@@ -77,12 +77,12 @@
 #[derive(Debug, Clone)]
 pub struct Member {
     /// What it last published about itself.
-    pub card: Card,
+    pub descriptor: InstanceDescriptor,
     /// The versions that it last reported directly.
     pub versions: Versions,
     /// Whether it is believed to be alive.
-    pub standing: Standing,
-    /// Time of the last change of its standing.
+    pub state: MemberState,
+    /// Time of the last change of `state`.
     pub since_ms: u64,
     /// Ids of the instances that suspect its current version.
     pub(super) suspected_by: BTreeSet<Arc<str>>,
@@ -91,6 +91,6 @@
 impl Member {
     /// Whether it is not declared dead.
     pub fn is_alive(&self) -> bool {
-        self.standing != Standing::Dead
+        self.state != MemberState::Dead
     }
 }
--- a/src/gateway/membership/members.rs
+++ b/src/gateway/membership/members.rs
@@ -13,7 +13,7 @@
 use super::super::instance::Registration;
 use super::super::policy::subset::Share;
 use super::super::policy::watchers::{self, Rank};
-use super::card::{Card, Member, Phase, Standing, Versions};
+use super::descriptor::{InstanceDescriptor, Member, MemberState, Phase, Versions};
 use super::message::{Message, Probe};
 use super::rumors::{GOSSIP_FANOUT, Rumor, Rumors};
 use super::sums::Sums;
@@ -39,7 +39,7 @@
 /// The members as one instance knows them.
 #[derive(Debug)]
 pub struct Membership {
-    card: Card,
+    descriptor: InstanceDescriptor,
     versions: Versions,
     members: BTreeMap<Arc<str>, Member>,
     /// Addresses to ping while no member is known.
@@ -73,7 +73,7 @@
         version: u64,
     ) -> Membership {
         let me = registration.peer_addr;
-        let card = Card {
+        let descriptor = InstanceDescriptor {
             registration,
             version,
             phase: Phase::Starting,
@@ -82,7 +82,7 @@
             share: Share::ALL,
         };
         Membership {
-            card,
+            descriptor,
             versions: Versions::default(),
             members: BTreeMap::new(),
             contacts: contacts.iter().copied().filter(|addr| *addr != me).collect(),
@@ -102,7 +102,7 @@
 
     /// This instance's registration.
     pub fn me(&self) -> &Registration {
-        &self.card.registration
+        &self.descriptor.registration
     }
 
     /// Takes the messages to be sent now.
@@ -126,7 +126,7 @@
         let is_silent = |member: &&Member| {
             !member.is_alive()
                 && member.since_ms >= since_ms
-                && member.card.phase != Phase::Stopping
+                && member.descriptor.phase != Phase::Stopping
         };
         self.members.values().filter(is_silent).count()
     }
@@ -140,32 +140,33 @@
     /// changed. A change of `versions` alone is sent only with the next pings.
     pub fn set_me(&mut self, phase: Phase, is_first_hand: bool, share: Share, versions: Versions) {
         self.versions = versions;
-        let card = Card { phase, is_first_hand, share, ..self.card.clone() };
-        if self.card != card {
-            self.card = card;
+        let descriptor =
+            InstanceDescriptor { phase, is_first_hand, share, ..self.descriptor.clone() };
+        if self.descriptor != descriptor {
+            self.descriptor = descriptor;
             self.announce();
         }
     }
 
     /// What this instance publishes about itself.
-    pub fn my_card(&self) -> &Card {
-        &self.card
+    pub fn own_descriptor(&self) -> &InstanceDescriptor {
+        &self.descriptor
     }
 
     /// This instance's rank in the fleet.
     pub fn my_rank(&self) -> Rank {
-        self.card.rank()
+        self.descriptor.rank()
     }
 
     /// Number of living members that rank before this instance.
     pub fn before_me(&self) -> usize {
         let me = self.my_rank();
-        self.alive().filter(|member| member.card.rank() < me).count()
+        self.alive().filter(|member| member.descriptor.rank() < me).count()
     }
 
     /// The living members that hold the whole list of upstreams, judged by their rank.
     pub fn keepers(&self) -> Vec<&Member> {
-        watchers::keepers(self.alive().map(|member| (member.card.rank(), member)))
+        watchers::keepers(self.alive().map(|member| (member.descriptor.rank(), member)))
     }
 
     /// The newest configuration version that any member has reported.
@@ -175,9 +176,9 @@
 
     /// Sends the rumor that this instance is dead to a few members, because it shuts down now.
     pub fn leave(&mut self, random: &mut dyn Random) {
-        let card = self.card.clone();
-        let by = Arc::clone(&card.registration.id);
-        let rumor = Rumor::Member { card, standing: Standing::Dead, by };
+        let descriptor = self.descriptor.clone();
+        let by = Arc::clone(&descriptor.registration.id);
+        let rumor = Rumor::Member { descriptor, state: MemberState::Dead, by };
         for addr in self.some(2 * GOSSIP_FANOUT, random) {
             self.out.push((addr, Message::Rumors(vec![rumor.clone()])));
         }
@@ -213,8 +214,14 @@
     }
 
     /// Merges a rumor about a member. Returns whether it was new.
-    pub fn hear_of(&mut self, card: Card, standing: Standing, by: Arc<str>, now_ms: u64) -> bool {
-        let rumor = Rumor::Member { card, standing, by };
+    pub fn hear_of(
+        &mut self,
+        descriptor: InstanceDescriptor,
+        state: MemberState,
+        by: Arc<str>,
+        now_ms: u64,
+    ) -> bool {
+        let rumor = Rumor::Member { descriptor, state, by };
         let known = self.take_in(&rumor, now_ms);
         match known {
             News::Known => self.rumors.heard(&rumor),
@@ -243,53 +250,61 @@
     }
 
     fn take_in(&mut self, rumor: &Rumor, now_ms: u64) -> News {
-        let Rumor::Member { card, standing, by } = rumor else { return News::Old };
-        let standing = *standing;
-        if card.registration.id == self.me().id {
-            self.hear_of_me(card, standing);
+        let Rumor::Member { descriptor, state, by } = rumor else { return News::Old };
+        let state = *state;
+        if descriptor.registration.id == self.me().id {
+            self.hear_of_me(descriptor, state);
             return News::Old;
         }
-        let known = self.members.get_mut(&card.registration.id);
+        let known = self.members.get_mut(&descriptor.registration.id);
         let Some(member) = known else {
             // An instance that is already dead when first mentioned is remembered, so that an older
             // rumor does not bring it back.
-            self.add(card, standing, by, now_ms);
-            return News::of(Standing::Alive, card, standing);
+            self.add(descriptor, state, by, now_ms);
+            return News::of(MemberState::Alive, descriptor, state);
         };
-        let before = member.standing;
-        let is_newer = (card.version, standing) > (member.card.version, before);
-        let suspects = standing == Standing::Suspect && card.version == member.card.version;
-        let is_agreement =
-            suspects && before == Standing::Suspect && member.suspected_by.insert(Arc::clone(by));
+        let before = member.state;
+        let is_newer = (descriptor.version, state) > (member.descriptor.version, before);
+        let suspects =
+            state == MemberState::Suspect && descriptor.version == member.descriptor.version;
+        let is_agreement = suspects
+            && before == MemberState::Suspect
+            && member.suspected_by.insert(Arc::clone(by));
         if !is_newer {
             if is_agreement && member.suspected_by.len() == AGREEING_OBSERVERS {
                 return News::Urgent;
             }
-            let is_same = (card.version, standing) == (member.card.version, before);
+            let is_same = (descriptor.version, state) == (member.descriptor.version, before);
             return if is_same { News::Known } else { News::Old };
         }
-        if card.version > member.card.version {
+        if descriptor.version > member.descriptor.version {
             member.suspected_by.clear();
         }
-        if standing == Standing::Suspect {
+        if state == MemberState::Suspect {
             member.suspected_by.insert(Arc::clone(by));
         }
-        if standing != before {
+        if state != before {
             member.since_ms = now_ms;
         }
-        member.card = card.clone();
-        member.standing = standing;
-        self.note_changed(&card.registration.id);
-        News::of(before, card, standing)
+        member.descriptor = descriptor.clone();
+        member.state = state;
+        self.note_changed(&descriptor.registration.id);
+        News::of(before, descriptor, state)
     }
 
-    fn add(&mut self, card: &Card, standing: Standing, by: &Arc<str>, now_ms: u64) {
-        let id = Arc::clone(&card.registration.id);
-        let suspects = standing == Standing::Suspect;
+    fn add(
+        &mut self,
+        descriptor: &InstanceDescriptor,
+        state: MemberState,
+        by: &Arc<str>,
+        now_ms: u64,
+    ) {
+        let id = Arc::clone(&descriptor.registration.id);
+        let suspects = state == MemberState::Suspect;
         let member = Member {
-            card: card.clone(),
+            descriptor: descriptor.clone(),
             versions: Versions::default(),
-            standing,
+            state,
             since_ms: now_ms,
             suspected_by: suspects.then(|| Arc::clone(by)).into_iter().collect(),
         };
@@ -299,11 +314,11 @@
 
     /// Refutes a rumor that this instance is suspect or dead, or that comes from a previous
     /// incarnation under its id.
-    fn hear_of_me(&mut self, card: &Card, standing: Standing) {
-        let is_other_life = card.registration.incarnation != self.me().incarnation;
-        let is_wrong = standing != Standing::Alive || is_other_life;
-        if is_wrong && card.version >= self.card.version {
-            self.card.version = card.version;
+    fn hear_of_me(&mut self, descriptor: &InstanceDescriptor, state: MemberState) {
+        let is_other_life = descriptor.registration.incarnation != self.me().incarnation;
+        let is_wrong = state != MemberState::Alive || is_other_life;
+        if is_wrong && descriptor.version >= self.descriptor.version {
+            self.descriptor.version = descriptor.version;
             self.announce();
         }
     }
@@ -311,11 +326,11 @@
     /// Merges what the sender of a probe reports about itself and others.
     fn hear(&mut self, probe: Probe, now_ms: u64) {
         self.heard_ms = now_ms;
-        let id = Arc::clone(&probe.card.registration.id);
+        let id = Arc::clone(&probe.descriptor.registration.id);
         if id == self.me().id {
             return;
         }
-        self.hear_of(probe.card, Standing::Alive, Arc::clone(&id), now_ms);
+        self.hear_of(probe.descriptor, MemberState::Alive, Arc::clone(&id), now_ms);
         if let Some(member) = self.members.get_mut(&id) {
             member.versions = probe.versions;
         }
@@ -327,8 +342,8 @@
     /// Merges a rumor about a member and ignores all other rumors, which don't concern the
     /// membership.
     fn hear_rumor(&mut self, rumor: Rumor, now_ms: u64) {
-        if let Rumor::Member { card, standing, by } = rumor {
-            self.hear_of(card, standing, by, now_ms);
+        if let Rumor::Member { descriptor, state, by } = rumor {
+            self.hear_of(descriptor, state, by, now_ms);
         }
     }
 
@@ -351,19 +366,23 @@
 
     /// Raises the version of this instance's own entry and gossips it to all.
     fn announce(&mut self) {
-        self.card.version += 1;
+        self.descriptor.version += 1;
         self.known_sum = None;
         let by = nobody();
-        self.tell(Rumor::Member { card: self.card.clone(), standing: Standing::Alive, by });
+        self.tell(Rumor::Member {
+            descriptor: self.descriptor.clone(),
+            state: MemberState::Alive,
+            by,
+        });
     }
 
     fn rumor_of(&self, member: &Member) -> Rumor {
         Rumor::Member {
-            card: member.card.clone(),
-            standing: member.standing,
-            by: match member.standing {
-                Standing::Suspect => Arc::clone(&self.me().id),
-                Standing::Alive | Standing::Dead => nobody(),
+            descriptor: member.descriptor.clone(),
+            state: member.state,
+            by: match member.state {
+                MemberState::Suspect => Arc::clone(&self.me().id),
+                MemberState::Alive | MemberState::Dead => nobody(),
             },
         }
     }
@@ -377,14 +396,14 @@
     }
 
     fn sum_up(&self) -> u64 {
-        self.cards().fold(0, |sum, card| {
-            sum ^ xxh3_64_with_seed(card.registration.id.as_bytes(), card.version)
+        self.descriptors().fold(0, |sum, descriptor| {
+            sum ^ xxh3_64_with_seed(descriptor.registration.id.as_bytes(), descriptor.version)
         })
     }
 
-    /// The cards of all living members and of this instance.
-    fn cards(&self) -> impl Iterator<Item = &Card> {
-        self.alive().map(|member| &member.card).chain([&self.card])
+    /// The descriptors of all living members and of this instance.
+    fn descriptors(&self) -> impl Iterator<Item = &InstanceDescriptor> {
+        self.alive().map(|member| &member.descriptor).chain([&self.descriptor])
     }
 
     /// Starts a comparison of the member tables with another instance.
@@ -392,7 +411,7 @@
         if now_ms < self.compare_from_ms {
             return;
         }
-        let sums = Sums::over(self.cards(), Sums::parts_for(self.members.len()));
+        let sums = Sums::over(self.descriptors(), Sums::parts_for(self.members.len()));
         self.out.push((to, Message::Sums(sums, false)));
     }
 
@@ -405,13 +424,13 @@
         from: SocketAddr,
         random: &mut dyn Random,
     ) {
-        let own = Sums::over(self.cards(), sums.parts());
+        let own = Sums::over(self.descriptors(), sums.parts());
         if own.parts() != sums.parts() {
             return;
         }
         let members: Vec<Rumor> = self
             .members_in_turn(random)
-            .filter(|member| own.differ_at(sums, &member.card.registration.id))
+            .filter(|member| own.differ_at(sums, &member.descriptor.registration.id))
             .map(|member| self.rumor_of(member))
             .take(MAX_MEMBERS_PER_REPLY)
             .collect();
@@ -446,7 +465,7 @@
     fn listeners(&self, random: &mut dyn Random) -> Vec<SocketAddr> {
         let (mut near, mut far): (Vec<&Registration>, Vec<&Registration>) = self
             .alive()
-            .map(|member| &member.card.registration)
+            .map(|member| &member.descriptor.registration)
             .partition(|other| other.domain == self.me().domain);
         pick(&mut near, GOSSIP_FANOUT, random);
         let tells_far = near.len() < GOSSIP_FANOUT || random.below(REMOTE_GOSSIP_EVERY_ROUNDS) == 0;
@@ -457,7 +476,7 @@
     /// The addresses of up to `most` living members, drawn at random.
     fn some(&self, most: usize, random: &mut dyn Random) -> Vec<SocketAddr> {
         let mut addrs: Vec<SocketAddr> =
-            self.alive().map(|member| member.card.registration.peer_addr).collect();
+            self.alive().map(|member| member.descriptor.registration.peer_addr).collect();
         pick(&mut addrs, most, random);
         addrs
     }
@@ -477,10 +496,10 @@
 }
 
 impl News {
-    /// Classifies a card that is newer than the known one, given the standing until now.
-    fn of(before: Standing, card: &Card, standing: Standing) -> News {
-        let is_alive = before == Standing::Alive && standing == Standing::Alive;
-        if is_alive && card.phase != Phase::Stopping { News::Arrival } else { News::Urgent }
+    /// Classifies a descriptor newer than the known one, given the state until now.
+    fn of(before: MemberState, descriptor: &InstanceDescriptor, state: MemberState) -> News {
+        let is_alive = before == MemberState::Alive && state == MemberState::Alive;
+        if is_alive && descriptor.phase != Phase::Stopping { News::Arrival } else { News::Urgent }
     }
 }
 
--- a/src/gateway/membership/members/probing.rs
+++ b/src/gateway/membership/members/probing.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use super::super::super::policy::watchers::ring_position;
-use super::super::card::{Member, Standing};
+use super::super::descriptor::{Member, MemberState};
 use super::super::message::{Message, Probe};
 use super::super::rumors::Rumor;
 use super::{AGREEING_OBSERVERS, Membership};
@@ -84,7 +84,7 @@
             if missed >= MISSED_ROUNDS_BEFORE_SUSPICION {
                 self.suspect(&id, now_ms);
             } else if let Some(member) = self.members.get(&id) {
-                let addr = member.card.registration.peer_addr;
+                let addr = member.descriptor.registration.peer_addr;
                 let others = self.some(INDIRECT_PINGS + 1, random);
                 for helper in others.into_iter().filter(|other| *other != addr).take(INDIRECT_PINGS)
                 {
@@ -98,11 +98,11 @@
     fn suspect(&mut self, id: &Arc<str>, now_ms: u64) {
         let Some(member) = self.members.get(id) else { return };
         let me = Arc::clone(&self.me().id);
-        if member.standing == Standing::Dead || member.suspected_by.contains(&me) {
+        if member.state == MemberState::Dead || member.suspected_by.contains(&me) {
             return;
         }
-        let card = member.card.clone();
-        self.hear_of(card, Standing::Suspect, me, now_ms);
+        let descriptor = member.descriptor.clone();
+        self.hear_of(descriptor, MemberState::Suspect, me, now_ms);
     }
 
     /// Declares the members dead that did not refute a suspicion in time.
@@ -111,12 +111,12 @@
             let is_agreed = member.suspected_by.len() >= AGREEING_OBSERVERS;
             let patience_ms =
                 if is_agreed { AGREED_SUSPICION_TIMEOUT_MS } else { SUSPICION_TIMEOUT_MS };
-            member.standing == Standing::Suspect && now_ms >= member.since_ms + patience_ms
+            member.state == MemberState::Suspect && now_ms >= member.since_ms + patience_ms
         };
-        let over = self.members.values().filter(is_over).map(|member| member.card.clone());
+        let over = self.members.values().filter(is_over).map(|member| member.descriptor.clone());
         let me = Arc::clone(&self.me().id);
-        for card in over.collect::<Vec<_>>() {
-            self.hear_of(card, Standing::Dead, Arc::clone(&me), now_ms);
+        for descriptor in over.collect::<Vec<_>>() {
+            self.hear_of(descriptor, MemberState::Dead, Arc::clone(&me), now_ms);
         }
     }
 
@@ -132,7 +132,7 @@
         self.observed.retain(|id, _| successors.contains(id));
         for id in successors {
             let Some(member) = self.members.get(&id) else { continue };
-            let addr = member.card.registration.peer_addr;
+            let addr = member.descriptor.registration.peer_addr;
             let told = self.told_to(&id, u64::MAX);
             let probe = self.probe(told);
             self.out.push((addr, Message::Ping(probe)));
@@ -144,7 +144,7 @@
     /// spreads over the whole fleet in few rounds. Along the ring, it would take as many rounds as
     /// there are members.
     fn sample(&mut self, random: &mut dyn Random) {
-        let others = self.alive().map(|member| &member.card.registration);
+        let others = self.alive().map(|member| &member.descriptor.registration);
         let others: Vec<_> =
             others.filter(|other| !self.observed.contains_key(&other.id)).collect();
         if others.is_empty() {
@@ -163,7 +163,7 @@
         let me = ring_position(&self.me().id);
         let mut ring: Vec<(u64, &Arc<str>)> = self
             .alive()
-            .map(|member| &member.card.registration.id)
+            .map(|member| &member.descriptor.registration.id)
             // Positions before this instance's come last: the ring wraps around.
             .map(|id| (ring_position(id).wrapping_sub(me), id))
             .collect();
@@ -181,7 +181,7 @@
             .members
             .values()
             .filter(|member| !member.is_alive())
-            .map(|member| member.card.registration.peer_addr)
+            .map(|member| member.descriptor.registration.peer_addr)
             .collect();
         if !dead.is_empty() {
             addrs.push(dead[random.below(dead.len() as u64) as usize]);
@@ -195,8 +195,9 @@
     /// The rumors that a member must receive to refute them, given its version: that others suspect
     /// it or declared it dead, or know a previous incarnation of it by a higher version.
     fn told_to(&self, id: &str, version: u64) -> Vec<Rumor> {
-        let is_wrong =
-            |member: &&Member| member.standing != Standing::Alive || member.card.version > version;
+        let is_wrong = |member: &&Member| {
+            member.state != MemberState::Alive || member.descriptor.version > version
+        };
         let member = self.members.get(id).filter(is_wrong);
         member.map(|member| self.rumor_of(member)).into_iter().collect()
     }
@@ -204,7 +205,7 @@
     fn probe(&mut self, rumors: Vec<Rumor>) -> Probe {
         self.number += 1;
         Probe {
-            card: self.card.clone(),
+            descriptor: self.descriptor.clone(),
             versions: self.versions,
             number: self.number,
             known_sum: self.known_sum(),
@@ -221,8 +222,8 @@
         random: &mut dyn Random,
     ) {
         let number = ping.number;
-        let version = ping.card.version;
-        let id = Arc::clone(&ping.card.registration.id);
+        let version = ping.descriptor.version;
+        let id = Arc::clone(&ping.descriptor.registration.id);
         let is_new = !self.members.contains_key(&id);
         self.hear(ping, now_ms);
         let rumors = self.told_to(&id, version);
@@ -238,8 +239,8 @@
         if let Some((asker, number)) = self.relayed.remove(&ack.number) {
             self.out.push((asker, Message::Ack(Probe { number, ..ack.clone() })));
         }
-        let id = Arc::clone(&ack.card.registration.id);
-        let addr = ack.card.registration.peer_addr;
+        let id = Arc::clone(&ack.descriptor.registration.id);
+        let addr = ack.descriptor.registration.peer_addr;
         let knows_others = ack.known_sum != self.known_sum();
         let observation = self.observed.get_mut(&id);
         let is_observed = observation.is_some();
--- a/src/gateway/membership/message.rs
+++ b/src/gateway/membership/message.rs
@@ -10,7 +10,7 @@
 use super::super::policy::subset::Share;
 use super::super::policy::usage::UsageNews;
 use super::super::rate::{NamedRate, Permit, Rate};
-use super::card::{Card, Versions};
+use super::descriptor::{InstanceDescriptor, Versions};
 use super::rumors::Rumor;
 use super::sums::Sums;
 
@@ -100,7 +100,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Probe {
     /// What the sender publishes about itself.
-    pub card: Card,
+    pub descriptor: InstanceDescriptor,
     /// The versions that the sender has.
     pub versions: Versions,
     /// Number of the ping; its answer repeats it.
--- a/src/gateway/membership/mod.rs
+++ b/src/gateway/membership/mod.rs
@@ -16,13 +16,13 @@
 //! module performs no I/O, reads no clock and spawns no tasks. See
 //! [docs/DESIGN.md](../../../docs/DESIGN.md).
 
-mod card;
+mod descriptor;
 mod members;
 mod message;
 mod rumors;
 mod sums;
 
-pub use self::card::{Card, Member, Phase, Standing, Versions};
+pub use self::descriptor::{InstanceDescriptor, Member, MemberState, Phase, Versions};
 pub use self::members::{Membership, PROBE_INTERVAL_MS};
 pub use self::message::{ChangesQuery, Message, PermitQuery, Probe, SignalUpdate, decode, encode};
 pub use self::rumors::{GOSSIP_INTERVAL_MS, Rumor, Rumors};
--- a/src/gateway/membership/rumors.rs
+++ b/src/gateway/membership/rumors.rs
@@ -9,7 +9,7 @@
 use super::super::crash::{CrashRecord, EndedUnder};
 use super::super::fingerprint::Fingerprint;
 use super::super::fleet::Upstream;
-use super::card::{Card, Standing};
+use super::descriptor::{InstanceDescriptor, MemberState};
 
 /// Interval between two rounds that send the same rumor, in milliseconds: long enough for the
 /// receivers of one round to have passed it on.
@@ -30,9 +30,9 @@
     #[serde(rename = "m")]
     Member {
         /// What the instance last published about itself.
-        card: Card,
+        descriptor: InstanceDescriptor,
         /// Whether it is believed to be alive.
-        standing: Standing,
+        state: MemberState,
         /// Id of the instance that reports this; used only for a suspicion.
         by: Arc<str>,
     },
@@ -60,7 +60,9 @@
 impl Rumor {
     fn subject(&self) -> Subject {
         match self {
-            Rumor::Member { card, .. } => Subject::Member(Arc::clone(&card.registration.id)),
+            Rumor::Member { descriptor, .. } => {
+                Subject::Member(Arc::clone(&descriptor.registration.id))
+            }
             Rumor::Lost(id) => Subject::Lost(Arc::clone(id)),
             Rumor::Found(upstream) => Subject::Found(Arc::clone(&upstream.id)),
             Rumor::Ended(end) => Subject::Ended(end.clone()),
--- a/src/gateway/membership/sums.rs
+++ b/src/gateway/membership/sums.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-use super::card::Card;
+use super::descriptor::InstanceDescriptor;
 
 /// Average number of members in a bucket. A bucket that differs is sent whole, although the receiver
 /// knows most of its members.
@@ -26,13 +26,16 @@
         (members / MEMBERS_PER_BUCKET).next_power_of_two()
     }
 
-    /// Checksums over the cards of all living members, which include the instance's own.
-    pub fn over<'a>(cards: impl Iterator<Item = &'a Card>, parts: usize) -> Sums {
+    /// Checksums over the descriptors of all living members, which include the instance's own.
+    pub fn over<'a>(
+        descriptors: impl Iterator<Item = &'a InstanceDescriptor>,
+        parts: usize,
+    ) -> Sums {
         let mut sums = Sums(vec![0; parts.clamp(1, MAX_BUCKETS)]);
-        for card in cards {
-            let id = &*card.registration.id;
+        for descriptor in descriptors {
+            let id = &*descriptor.registration.id;
             let part = sums.part_of(id);
-            sums.0[part] ^= xxh3_64_with_seed(id.as_bytes(), card.version) as u32;
+            sums.0[part] ^= xxh3_64_with_seed(id.as_bytes(), descriptor.version) as u32;
         }
         sums
     }
--- a/tests/gateway/membership.rs
+++ b/tests/gateway/membership.rs
@@ -7,8 +7,8 @@
 
 use siskinrock::gateway::instance::Registration;
 use siskinrock::gateway::membership::{
-    self, Card, GOSSIP_INTERVAL_MS, Membership, Message, PROBE_INTERVAL_MS, Phase, Rumor, Rumors,
-    Standing, Versions,
+    self, GOSSIP_INTERVAL_MS, InstanceDescriptor, MemberState, Membership, Message,
+    PROBE_INTERVAL_MS, Phase, Rumor, Rumors, Versions,
 };
 use siskinrock::gateway::policy::subset::Share;
 use yare::parameterized;
@@ -69,10 +69,17 @@
     }
 }
 
-fn card(index: usize, version: u64) -> Card {
+fn descriptor(index: usize, version: u64) -> InstanceDescriptor {
     let registration = registration(index, 1);
     let phase = Phase::Ready;
-    Card { registration, version, phase, is_first_hand: false, link_mbps: 0, share: Share::ALL }
+    InstanceDescriptor {
+        registration,
+        version,
+        phase,
+        is_first_hand: false,
+        link_mbps: 0,
+        share: Share::ALL,
+    }
 }
 
 impl World {
@@ -174,8 +181,8 @@
             }
             Some(Message::Rumors(rumors)) => {
                 for rumor in rumors {
-                    let Rumor::Member { card, standing, by } = rumor else { continue };
-                    membership.hear_of(card, standing, by, now_ms);
+                    let Rumor::Member { descriptor, state, by } = rumor else { continue };
+                    membership.hear_of(descriptor, state, by, now_ms);
                 }
             }
             Some(Message::Sums(sums, is_answer)) => {
@@ -239,7 +246,7 @@
         let id = format!("edge-{index}");
         let knows = |other: &&Instance| {
             let known = other.membership.get(&id);
-            known.is_some_and(|member| member.standing == Standing::Alive)
+            known.is_some_and(|member| member.state == MemberState::Alive)
         };
         let others = self.instances.iter().enumerate().filter(|(other, _)| *other != index);
         others.map(|(_, other)| other).filter(|other| other.is_up).filter(knows).count()
@@ -253,11 +260,11 @@
     fn is_settled(&self) -> bool {
         let up = self.up().len();
         let is_up = |member: &&membership::Member| {
-            self.instances[index_of(member.card.registration.peer_addr)].is_up
+            self.instances[index_of(member.descriptor.registration.peer_addr)].is_up
         };
         let is_right = |instance: &Instance| {
             let alive = instance.membership.alive();
-            let known: Vec<_> = alive.filter(|member| member.standing == Standing::Alive).collect();
+            let known: Vec<_> = alive.filter(|member| member.state == MemberState::Alive).collect();
             known.len() == up - 1 && known.iter().all(is_up)
         };
         self.instances.iter().filter(|instance| instance.is_up).all(is_right)
@@ -292,7 +299,7 @@
 fn a_start_of_the_whole_fleet_is_cheap(count: usize) {
     /// Time within which all instances must know each other; callers arrive later than that.
     const MAX_CONVERGENCE_MS: u64 = 6_000;
-    /// Bytes that an instance sends per other instance, on average: its card reaches each of them a
+    /// Bytes that an instance sends per other instance, on average: its descriptor reaches each a
     /// few times.
     const MAX_MEAN_BYTES_PER_PEER: u64 = 500;
     /// Bytes that the busiest instance sends: its link of 10 Mbit/s carries them in a second and a
@@ -329,19 +336,19 @@
 #[test]
 fn arrivals_of_a_whole_fleet_leave_room_for_what_is_urgent() {
     let mut rumors = Rumors::default();
-    let of = |index, standing| {
+    let of = |index, state| {
         let by = "edge-0".into();
-        Rumor::Member { card: card(index, 1), standing, by }
+        Rumor::Member { descriptor: descriptor(index, 1), state, by }
     };
-    (0..500).for_each(|index| rumors.add_arrival(of(index, Standing::Alive), 500));
-    rumors.add(of(900, Standing::Dead), 500);
+    (0..500).for_each(|index| rumors.add_arrival(of(index, MemberState::Alive), 500));
+    rumors.add(of(900, MemberState::Dead), 500);
     let mut told = Vec::new();
     while !rumors.is_empty() {
         told.extend(rumors.round());
     }
     told.dedup();
-    assert!(told.contains(&of(900, Standing::Dead)));
-    let arrivals = (0..500).filter(|index| told.contains(&of(*index, Standing::Alive)));
+    assert!(told.contains(&of(900, MemberState::Dead)));
+    let arrivals = (0..500).filter(|index| told.contains(&of(*index, MemberState::Alive)));
     assert_eq!(arrivals.count(), 64, "members get the others by comparing");
 }
 
@@ -430,7 +437,7 @@
     let id = "edge-4";
     for other in world.instances.iter().filter(|other| other.membership.me().id.as_ref() != id) {
         let known = other.membership.get(id).expect("it is known");
-        assert_eq!(known.card.registration.incarnation, 2);
+        assert_eq!(known.descriptor.registration.incarnation, 2);
     }
 }
 
@@ -441,7 +448,8 @@
     world.instances[4].membership.set_me(Phase::Stopping, false, Share::ALL, Versions::default());
     world.flush(4);
     world.run_until(world.now_ms + 400);
-    let phase = |other: &Instance| other.membership.get("edge-4").map(|known| known.card.phase);
+    let phase =
+        |other: &Instance| other.membership.get("edge-4").map(|known| known.descriptor.phase);
     let told = world.instances.iter().filter_map(phase);
     assert!(told.into_iter().all(|phase| phase == Phase::Stopping));
     world.instances[4].membership.leave(&mut fastrand::Rng::with_seed(3));
@@ -514,7 +522,7 @@
         for other in 0..world.instances.len() {
             let id = format!("edge-{other}");
             if let Some(known) = instance.membership.get(&id) {
-                versions.insert((index, instance.life, id), known.card.version);
+                versions.insert((index, instance.life, id), known.descriptor.version);
             }
         }
     }
@@ -526,15 +534,18 @@
 fn old_forged_and_unreadable_messages_change_nothing() {
     let mut membership = Membership::new(registration(0, 1), 0, &[], 50);
     let by = || "edge-9".into();
-    assert!(membership.hear_of(card(1, 7), Standing::Alive, by(), 0));
-    assert!(!membership.hear_of(card(1, 6), Standing::Dead, by(), 10), "outdated");
-    assert!(!membership.hear_of(card(1, 7), Standing::Alive, by(), 10), "already known");
+    assert!(membership.hear_of(descriptor(1, 7), MemberState::Alive, by(), 0));
+    assert!(!membership.hear_of(descriptor(1, 6), MemberState::Dead, by(), 10), "outdated");
+    assert!(!membership.hear_of(descriptor(1, 7), MemberState::Alive, by(), 10), "already known");
     assert!(membership.get("edge-1").unwrap().is_alive());
-    assert!(!membership.hear_of(card(0, 3), Standing::Dead, by(), 10), "its own version is higher");
+    assert!(
+        !membership.hear_of(descriptor(0, 3), MemberState::Dead, by(), 10),
+        "its own version is higher"
+    );
     assert!(membership.take_messages().is_empty());
-    assert!(membership.hear_of(card(1, 7), Standing::Dead, by(), 20));
+    assert!(membership.hear_of(descriptor(1, 7), MemberState::Dead, by(), 20));
     assert!(
-        !membership.hear_of(card(1, 7), Standing::Suspect, by(), 30),
+        !membership.hear_of(descriptor(1, 7), MemberState::Suspect, by(), 30),
         "a dead member stays dead within one version"
     );
     for bytes in [&b""[..], b"\x00", b"\xff\xff\xff", b"{\"Ping\":{}}", &[0x92; 40]] {
