--- a/src/gateway/control/changes.rs
+++ b/src/gateway/control/changes.rs
@@ -82,7 +82,7 @@
             since: u64::MAX,
             fleet: Delta { revision: fleet, ..Delta::default() },
             holder: self.list_holder_to_tell(board),
-            part: None,
+            subset: None,
         };
         if !board.part.share.is_all() {
             return nothing;
@@ -147,7 +147,7 @@
             since: if is_short { since } else { u64::MAX },
             fleet: if is_short { fleet } else { nothing },
             holder: None,
-            part: Some(part),
+            subset: Some(part),
         }
     }
 
@@ -199,10 +199,10 @@
         let mut board = self.board.borrow_mut();
         let versions = Versions { config: changes.config, fleet: changes.fleet.revision };
         board.membership.set_versions(&changes.from, versions);
-        if let Some(part) = &changes.part {
+        if let Some(part) = &changes.subset {
             self.follow_large(&mut board, part);
         }
-        let Changes { since, fleet: delta, part, holder, .. } = changes;
+        let Changes { since, fleet: delta, subset: part, holder, .. } = changes;
         if let Some(holder) = holder {
             Control::note_list_holder(&mut board, holder);
         }
--- a/src/gateway/control/duties.rs
+++ b/src/gateway/control/duties.rs
@@ -304,13 +304,13 @@
                 let counted = if upstream.is_leaving { &mut seen.leaving } else { &mut seen.ready };
                 *counted += 1;
             }
-            let held = board.loads.held();
+            let held = board.loads.by_upstream();
             let others = of_service().filter_map(|upstream| held.get(&upstream.id));
             let is_of_service = |held: &&UpstreamLoad| {
                 let upstream = board.fleet.upstreams.get(&held.upstream);
                 upstream.is_some_and(|upstream| upstream.service == *name)
             };
-            let all = others.chain(own.held.iter().filter(is_of_service));
+            let all = others.chain(own.loads.iter().filter(is_of_service));
             let tokens: u64 = all.map(|held| held.reserved_tokens).sum();
             let filled = tokens as f64 / memory_tokens as f64;
             let known = Known { service: name, terms, workers: &workers, filled };
--- a/src/gateway/control/exchange.rs
+++ b/src/gateway/control/exchange.rs
@@ -106,7 +106,7 @@
         if board.found.note_directory(is_heard, now_ms) {
             slog::info!(self.log, "engines found meanwhile count only as listed");
         }
-        board.loads.forget(now_ms);
+        board.loads.remove_expired(now_ms);
         board.quarantine.forget(now_ms);
         board.named_rates.forget(now_ms);
         board.departures.forget(now_ms);
@@ -139,15 +139,20 @@
             let now_ms = self.clock.now_ms();
             let own = self.shared.own();
             let mut board = self.board.borrow_mut();
-            board.loads.note_own(&own, now_ms);
-            let Some(change) = board.told.take(own) else { continue };
-            board.loads.note_places(&change.places, now_ms);
+            board.loads.set_own_loads(&own, now_ms);
+            let Some(change) = board.told.take_changes(own) else { continue };
+            board.loads.add_own_cache_locations(&change.cache_locations, now_ms);
             for id in change.lost {
                 self.note_lost(&mut board, id, now_ms);
             }
             let sent = change.sent;
             let news = self.load_news(&mut board);
-            let news = LoadUpdate { held: change.held, sent, places: change.places, ..news };
+            let news = LoadUpdate {
+                loads: change.loads,
+                sent,
+                cache_locations: change.cache_locations,
+                ..news
+            };
             let near = board.placing_near.clone();
             drop(board);
             self.send(&Message::Loads(news), &near);
@@ -160,12 +165,12 @@
         LoadUpdate {
             id: Arc::clone(&self.me.id),
             incarnation: self.me.incarnation,
-            count: board.messages,
-            is_whole: false,
-            held: Vec::new(),
+            sequence: board.messages,
+            is_complete: false,
+            loads: Vec::new(),
             sent: None,
             sent_by_ended: Vec::new(),
-            places: Vec::new(),
+            cache_locations: Vec::new(),
         }
     }
 
@@ -174,15 +179,15 @@
         let now_ms = self.clock.now_ms();
         let own = self.shared.own();
         let mut board = self.board.borrow_mut();
-        let sent_by_ended = board.loads.own_ended(now_ms);
+        let sent_by_ended = board.loads.observed_ended(now_ms);
         let news = LoadUpdate {
-            is_whole: true,
-            held: own.held,
+            is_complete: true,
+            loads: own.loads,
             sent: Some(own.sent),
             sent_by_ended,
             ..self.load_news(&mut board)
         };
-        let says_nothing = news.held.is_empty()
+        let says_nothing = news.loads.is_empty()
             && news.sent_by_ended.is_empty()
             && news.sent.iter().flatten().all(|sent| sent.requests + sent.repeats == 0);
         if says_nothing && std::mem::replace(&mut board.has_told_nothing, true) {
@@ -344,7 +349,7 @@
         let is_here = sender.is_some_and(|sender| {
             sender.is_alive() && sender.descriptor.registration.domain == self.me.domain
         });
-        if is_here && board.loads.hear(news, now_ms) {
+        if is_here && board.loads.apply_update(news, now_ms) {
             self.dirty.notify_one();
         }
     }
@@ -353,7 +358,7 @@
         let mut board = self.board.borrow_mut();
         let passed_on =
             digest.must_forward.then(|| Digest { must_forward: false, ..digest.clone() });
-        if !board.loads.hear_digest(digest, now_ms) {
+        if !board.loads.apply_digest(digest, now_ms) {
             return;
         }
         let near = board.placing_near.clone();
--- a/src/gateway/loads/own.rs
+++ b/src/gateway/loads/local_traffic.rs
@@ -49,7 +49,7 @@
     }
 
     /// Subtracts a load that was added before.
-    pub fn take_away(&mut self, other: &UpstreamLoad) {
+    pub fn subtract(&mut self, other: &UpstreamLoad) {
         self.runs = self.runs.saturating_sub(other.runs);
         self.copies = self.copies.saturating_sub(other.copies);
         self.reading = self.reading.saturating_sub(other.reading);
@@ -73,61 +73,62 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct LocalTraffic {
     /// Its load at upstreams.
-    pub held: Vec<UpstreamLoad>,
+    pub loads: Vec<UpstreamLoad>,
     /// The requests it sent recently.
     pub sent: Vec<SentRequests>,
     /// Upstreams that it lost recently.
     pub lost: Vec<Arc<str>>,
     /// Engines that read a prompt prefix, by the hash of the prefix. A caller whose instance died
     /// continues at another one, which sends it to the engine that still has the prompt cached.
-    pub places: Vec<(u64, Arc<str>)>,
+    pub cache_locations: Vec<(u64, Arc<str>)>,
 }
 
 /// What changed since the last report.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Change {
+pub struct TrafficChange {
     /// The load at upstreams where it changed.
-    pub held: Vec<UpstreamLoad>,
+    pub loads: Vec<UpstreamLoad>,
     /// The requests it sent recently, if their number changed.
     pub sent: Option<Vec<SentRequests>>,
     /// Upstreams that it lost since.
     pub lost: Vec<Arc<str>>,
     /// Engines that read a prompt prefix, as far as this is new.
-    pub places: Vec<(u64, Arc<str>)>,
+    pub cache_locations: Vec<(u64, Arc<str>)>,
 }
 
 /// What was reported so far.
 #[derive(Debug, Clone, Default)]
 pub struct ReportedTraffic {
-    own: LocalTraffic,
+    last: LocalTraffic,
 }
 
 impl ReportedTraffic {
     /// Returns what has to be reported now, if anything, and records it as reported. A change in the
     /// number of sent requests alone is not reported, because each request changes it.
-    pub fn take(&mut self, own: LocalTraffic) -> Option<Change> {
+    pub fn take_changes(&mut self, own: LocalTraffic) -> Option<TrafficChange> {
         let change = self.change(&own);
-        if change.held.is_empty() && change.lost.is_empty() && change.places.is_empty() {
+        if change.loads.is_empty() && change.lost.is_empty() && change.cache_locations.is_empty() {
             return None;
         }
-        self.own = own;
+        self.last = own;
         Some(change)
     }
 
-    fn change(&self, own: &LocalTraffic) -> Change {
-        let is_changed = |held: &&UpstreamLoad| !self.own.held.contains(held);
-        let mut held: Vec<UpstreamLoad> = own.held.iter().filter(is_changed).cloned().collect();
-        let is_left =
-            |before: &&UpstreamLoad| !own.held.iter().any(|held| held.upstream == before.upstream);
-        let emptied = self.own.held.iter().filter(is_left);
-        held.extend(emptied.map(|before| UpstreamLoad::empty(Arc::clone(&before.upstream))));
-        let is_new_loss = |id: &&Arc<str>| !self.own.lost.contains(id);
-        let is_new_place = |place: &&(u64, Arc<str>)| !self.own.places.contains(place);
-        Change {
-            held,
-            sent: (own.sent != self.own.sent).then(|| own.sent.clone()),
+    fn change(&self, own: &LocalTraffic) -> TrafficChange {
+        let is_changed = |load: &&UpstreamLoad| !self.last.loads.contains(load);
+        let mut loads: Vec<UpstreamLoad> = own.loads.iter().filter(is_changed).cloned().collect();
+        let is_gone =
+            |before: &&UpstreamLoad| !own.loads.iter().any(|load| load.upstream == before.upstream);
+        let now_empty = self.last.loads.iter().filter(is_gone);
+        loads.extend(now_empty.map(|before| UpstreamLoad::empty(Arc::clone(&before.upstream))));
+        let is_new_loss = |id: &&Arc<str>| !self.last.lost.contains(id);
+        let is_new_location =
+            |location: &&(u64, Arc<str>)| !self.last.cache_locations.contains(location);
+        TrafficChange {
+            loads,
+            sent: (own.sent != self.last.sent).then(|| own.sent.clone()),
             lost: own.lost.iter().filter(is_new_loss).cloned().collect(),
-            places: own.places.iter().filter(is_new_place).cloned().collect(),
+            cache_locations: own.cache_locations.iter().filter(is_new_location).cloned().collect(),
         }
     }
 }
--- a/src/gateway/loads/message.rs
+++ b/src/gateway/loads/message.rs
@@ -8,7 +8,7 @@
 
 use super::super::fleet::Delta;
 use super::super::policy::subset::Share;
-use super::own::{SentRequests, UpstreamLoad};
+use super::local_traffic::{SentRequests, UpstreamLoad};
 
 /// The traffic of one instance, for the other instances of its failure domain.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -18,17 +18,17 @@
     /// Incarnation of the sender.
     pub incarnation: u64,
     /// Sequence number of the message at its sender.
-    pub count: u64,
+    pub sequence: u64,
     /// Whether the sender has no load at the upstreams that are not listed here.
-    pub is_whole: bool,
+    pub is_complete: bool,
     /// The sender's load at upstreams.
-    pub held: Vec<UpstreamLoad>,
+    pub loads: Vec<UpstreamLoad>,
     /// The requests it sent recently, if their number changed.
     pub sent: Option<Vec<SentRequests>>,
     /// The requests sent by instances of its failure domain that have ended since.
     pub sent_by_ended: Vec<SentRequests>,
     /// Engines that read a prompt prefix, by the hash of the prefix.
-    pub places: Vec<(u64, Arc<str>)>,
+    pub cache_locations: Vec<(u64, Arc<str>)>,
 }
 
 /// Summary of the traffic of all instances of a failure domain, for the other domains.
@@ -37,11 +37,11 @@
     /// The failure domain.
     pub domain: Arc<str>,
     /// Their load at upstreams where it changed recently, and at some others.
-    pub held: Vec<UpstreamLoad>,
+    pub loads: Vec<UpstreamLoad>,
     /// The requests they sent recently.
     pub sent: Vec<SentRequests>,
     /// Engines that read a prompt prefix, as far as this is new.
-    pub places: Vec<(u64, Arc<str>)>,
+    pub cache_locations: Vec<(u64, Arc<str>)>,
     /// Whether the receiver forwards it within its failure domain.
     pub must_forward: bool,
 }
@@ -61,7 +61,7 @@
     pub holder: Option<SocketAddr>,
     /// If `fleet` is limited to the upstreams of large services that the receiver holds, which these
     /// are.
-    pub part: Option<UpstreamSubset>,
+    pub subset: Option<UpstreamSubset>,
 }
 
 /// The subset of the list of upstreams that an instance holds or a message covers.
--- a/src/gateway/loads/mod.rs
+++ b/src/gateway/loads/mod.rs
@@ -6,12 +6,12 @@
 //! messages of one instance nor the traffic between domains grow with the fleet. Applying a message
 //! takes time in proportion to its length. See [docs/DESIGN.md](../../../docs/DESIGN.md).
 
+mod cache_locations;
+mod local_traffic;
 mod message;
-mod own;
-mod picture;
-mod places;
+mod peer_loads;
 
+pub use self::cache_locations::CacheLocations;
+pub use self::local_traffic::{LocalTraffic, ReportedTraffic, SentRequests, UpstreamLoad};
 pub use self::message::{Changes, Digest, LoadUpdate, UpstreamSubset};
-pub use self::own::{LocalTraffic, ReportedTraffic, SentRequests, UpstreamLoad};
-pub use self::picture::{DIGEST_INTERVAL_MS, PeerLoads};
-pub use self::places::CacheLocations;
+pub use self::peer_loads::{DIGEST_INTERVAL_MS, PeerLoads};
--- /dev/null
+++ b/src/gateway/loads/peer_loads.rs
@@ -0,0 +1,355 @@
+//! The load of the other instances at upstreams, updated message by message.
+
+use std::collections::BTreeMap;
+use std::sync::Arc;
+
+use super::cache_locations::CacheLocations;
+use super::local_traffic::{LocalTraffic, SentRequests, UpstreamLoad};
+use super::message::{Digest, LoadUpdate};
+use crate::decide::Random;
+
+/// Average interval between two digests of a failure domain at each of the others, in milliseconds.
+/// Loads of that age still show which of a hundred engines are busy, because a request runs for
+/// seconds.
+pub const DIGEST_INTERVAL_MS: u64 = 150;
+/// How long digests repeat a change, in milliseconds. They are sent every [`DIGEST_INTERVAL_MS`] on average,
+/// at random times, so one in fifty changes is in none of them; the unchanged upstreams that digests
+/// also repeat make up for it.
+const CHANGE_REPEAT_MS: u64 = 600;
+/// Number of upstreams that a digest repeats without a change, so that each is repeated within a
+/// second or two.
+const UNCHANGED_PER_DIGEST: usize = 12;
+/// How long another failure domain's load at an upstream counts unless it is repeated, in
+/// milliseconds.
+const REMOTE_LOAD_TTL_MS: u64 = 4_000;
+
+/// Another instance of this failure domain.
+#[derive(Debug)]
+struct Peer {
+    incarnation: u64,
+    sequence: u64,
+    loads: BTreeMap<Arc<str>, UpstreamLoad>,
+    sent: Vec<SentRequests>,
+    received_ms: u64,
+}
+
+/// Another failure domain.
+#[derive(Debug, Default)]
+struct RemoteDomain {
+    loads: BTreeMap<Arc<str>, (UpstreamLoad, u64)>,
+    sent: Vec<SentRequests>,
+    received_ms: u64,
+}
+
+/// The requests sent by an instance that has ended, or by several.
+#[derive(Debug)]
+struct EndedRequests {
+    sent: Vec<SentRequests>,
+    received_ms: u64,
+}
+
+/// The traffic of the other instances, as far as it is known.
+#[derive(Debug)]
+pub struct PeerLoads {
+    domain: Arc<str>,
+    /// Window of the retry budget, in which sent requests count.
+    window_ms: u64,
+    peers: BTreeMap<Arc<str>, Peer>,
+    domain_total: BTreeMap<Arc<str>, UpstreamLoad>,
+    remote_domains: BTreeMap<Arc<str>, RemoteDomain>,
+    total: Arc<BTreeMap<Arc<str>, UpstreamLoad>>,
+    own_loads: BTreeMap<Arc<str>, UpstreamLoad>,
+    changed_at_ms: BTreeMap<Arc<str>, u64>,
+    ended: Vec<EndedRequests>,
+    /// What peers reported about ended instances; an instance that has just started has seen none of
+    /// them end.
+    reported_ended: Option<EndedRequests>,
+    cache_locations: CacheLocations,
+    recent_cache_locations: Vec<(u64, Arc<str>, u64)>,
+}
+
+impl PeerLoads {
+    /// Creates the state of an instance of a failure domain that has received nothing yet.
+    pub fn new(domain: Arc<str>, window_ms: u64) -> PeerLoads {
+        PeerLoads {
+            domain,
+            window_ms,
+            peers: BTreeMap::new(),
+            domain_total: BTreeMap::new(),
+            remote_domains: BTreeMap::new(),
+            total: Arc::default(),
+            own_loads: BTreeMap::new(),
+            changed_at_ms: BTreeMap::new(),
+            ended: Vec::new(),
+            reported_ended: None,
+            cache_locations: CacheLocations::default(),
+            recent_cache_locations: Vec::new(),
+        }
+    }
+
+    /// The load of all other instances, by upstream.
+    pub fn by_upstream(&self) -> Arc<BTreeMap<Arc<str>, UpstreamLoad>> {
+        Arc::clone(&self.total)
+    }
+
+    /// The engines that read prompt prefixes.
+    pub fn cache_locations(&self) -> CacheLocations {
+        self.cache_locations.clone()
+    }
+
+    /// Applies an update from an instance of this failure domain. Returns `false` if it is outdated.
+    pub fn apply_update(&mut self, update: LoadUpdate, now_ms: u64) -> bool {
+        let known = self.peers.get(&update.id);
+        if known.is_some_and(|known| known.incarnation != update.incarnation) {
+            self.remove(&update.id, now_ms);
+        }
+        let new = || Peer {
+            incarnation: update.incarnation,
+            sequence: 0,
+            loads: BTreeMap::new(),
+            sent: Vec::new(),
+            received_ms: now_ms,
+        };
+        let peer = self.peers.entry(Arc::clone(&update.id)).or_insert_with(new);
+        if update.sequence <= peer.sequence {
+            return false;
+        }
+        peer.sequence = update.sequence;
+        peer.received_ms = now_ms;
+        let mut loads = update.loads;
+        if update.is_complete {
+            let is_gone = |id: &&Arc<str>| !loads.iter().any(|load| load.upstream == **id);
+            let now_empty: Vec<Arc<str>> = peer.loads.keys().filter(is_gone).cloned().collect();
+            loads.extend(now_empty.into_iter().map(UpstreamLoad::empty));
+        }
+        if let Some(sent) = update.sent {
+            peer.sent = sent;
+        }
+        for load in loads {
+            self.set_peer_load(&update.id, load, now_ms);
+        }
+        for (prefix, upstream) in update.cache_locations {
+            self.cache_locations.add(prefix, Arc::clone(&upstream), now_ms);
+            self.recent_cache_locations.push((prefix, upstream, now_ms));
+        }
+        if !update.sent_by_ended.is_empty() {
+            self.reported_ended =
+                Some(EndedRequests { sent: update.sent_by_ended, received_ms: now_ms });
+        }
+        true
+    }
+
+    fn set_peer_load(&mut self, id: &Arc<str>, load: UpstreamLoad, now_ms: u64) {
+        let upstream = Arc::clone(&load.upstream);
+        let Some(peer) = self.peers.get_mut(id) else { return };
+        let before = if load.is_empty() {
+            peer.loads.remove(&upstream)
+        } else {
+            peer.loads.insert(Arc::clone(&upstream), load.clone())
+        };
+        if before.as_ref() == Some(&load) || (before.is_none() && load.is_empty()) {
+            return;
+        }
+        replace_load(&mut self.domain_total, before.as_ref(), &load);
+        replace_load(Arc::make_mut(&mut self.total), before.as_ref(), &load);
+        self.changed_at_ms.insert(upstream, now_ms);
+    }
+
+    /// Removes the load of an instance that has ended; its sent requests count for the rest of the
+    /// window.
+    pub fn remove(&mut self, id: &str, now_ms: u64) {
+        let Some(peer) = self.peers.remove(id) else { return };
+        for before in peer.loads.values() {
+            let empty = UpstreamLoad::empty(Arc::clone(&before.upstream));
+            replace_load(&mut self.domain_total, Some(before), &empty);
+            replace_load(Arc::make_mut(&mut self.total), Some(before), &empty);
+            self.changed_at_ms.insert(Arc::clone(&before.upstream), now_ms);
+        }
+        self.ended.push(EndedRequests { sent: peer.sent, received_ms: peer.received_ms });
+    }
+
+    /// Records this instance's own load, for the digest of its failure domain.
+    pub fn set_own_loads(&mut self, own: &LocalTraffic, now_ms: u64) {
+        let own_loads = own.loads.iter().map(|load| (Arc::clone(&load.upstream), load.clone()));
+        let own_loads: BTreeMap<Arc<str>, UpstreamLoad> = own_loads.collect();
+        let before = std::mem::take(&mut self.own_loads);
+        for id in before.keys().chain(own_loads.keys()) {
+            if before.get(id) != own_loads.get(id) {
+                self.changed_at_ms.insert(Arc::clone(id), now_ms);
+            }
+        }
+        self.own_loads = own_loads;
+    }
+
+    /// Records cache locations that this instance itself reported, for the digest of its failure
+    /// domain.
+    pub fn add_own_cache_locations(&mut self, cache_locations: &[(u64, Arc<str>)], now_ms: u64) {
+        let new = cache_locations
+            .iter()
+            .map(|(prefix, upstream)| (*prefix, Arc::clone(upstream), now_ms));
+        self.recent_cache_locations.extend(new);
+    }
+
+    /// Summarises the traffic of all instances of this failure domain, for the other domains.
+    pub fn digest(&mut self, own: &LocalTraffic, now_ms: u64, random: &mut dyn Random) -> Digest {
+        self.changed_at_ms.retain(|_, at_ms| *at_ms + CHANGE_REPEAT_MS > now_ms);
+        self.recent_cache_locations.retain(|(_, _, at_ms)| at_ms + CHANGE_REPEAT_MS > now_ms);
+        let mut reported: Vec<Arc<str>> = self.changed_at_ms.keys().cloned().collect();
+        let all: Vec<&Arc<str>> = self.domain_total.keys().chain(self.own_loads.keys()).collect();
+        let start = random.below(all.len().max(1) as u64) as usize;
+        let repeated = all.iter().cycle().skip(start).take(UNCHANGED_PER_DIGEST.min(all.len()));
+        reported.extend(repeated.map(|id| Arc::clone(id)));
+        reported.sort_unstable();
+        reported.dedup();
+        let cache_locations = self.recent_cache_locations.iter();
+        let cache_locations =
+            cache_locations.map(|(prefix, upstream, _)| (*prefix, Arc::clone(upstream)));
+        Digest {
+            domain: Arc::clone(&self.domain),
+            loads: reported.into_iter().map(|id| self.domain_load(id)).collect(),
+            sent: self.sent_in_domain(own, now_ms),
+            cache_locations: cache_locations.collect(),
+            must_forward: true,
+        }
+    }
+
+    fn domain_load(&self, id: Arc<str>) -> UpstreamLoad {
+        let mut load = self
+            .domain_total
+            .get(&id)
+            .cloned()
+            .unwrap_or_else(|| UpstreamLoad::empty(Arc::clone(&id)));
+        if let Some(own_load) = self.own_loads.get(&id) {
+            load.add(own_load);
+        }
+        load
+    }
+
+    /// Applies the digest of another failure domain. Returns `false` if it is of this instance's own.
+    pub fn apply_digest(&mut self, digest: Digest, now_ms: u64) -> bool {
+        if digest.domain == self.domain {
+            return false;
+        }
+        let remote = self.remote_domains.entry(Arc::clone(&digest.domain)).or_default();
+        remote.received_ms = now_ms;
+        remote.sent = digest.sent;
+        for load in digest.loads {
+            let before = if load.is_empty() {
+                remote.loads.remove(&load.upstream)
+            } else {
+                remote.loads.insert(Arc::clone(&load.upstream), (load.clone(), now_ms))
+            };
+            let before = before.map(|(before, _)| before);
+            if before.as_ref() != Some(&load) {
+                replace_load(Arc::make_mut(&mut self.total), before.as_ref(), &load);
+            }
+        }
+        for (prefix, upstream) in digest.cache_locations {
+            self.cache_locations.add(prefix, upstream, now_ms);
+        }
+        true
+    }
+
+    /// Removes what has not been repeated for too long. Returns whether that was any load.
+    pub fn remove_expired(&mut self, now_ms: u64) -> bool {
+        let window_ms = self.window_ms;
+        self.ended.retain(|ended| ended.received_ms + window_ms > now_ms);
+        self.cache_locations.remove_expired(now_ms);
+        let total = &mut self.total;
+        let mut is_any = false;
+        for remote in self.remote_domains.values_mut() {
+            remote.loads.retain(|_, (load, received_ms)| {
+                let is_kept = *received_ms + REMOTE_LOAD_TTL_MS > now_ms;
+                if !is_kept {
+                    let empty = UpstreamLoad::empty(Arc::clone(&load.upstream));
+                    replace_load(Arc::make_mut(total), Some(load), &empty);
+                    is_any = true;
+                }
+                is_kept
+            });
+        }
+        is_any
+    }
+
+    /// The requests that the other instances sent to each service within the window. Instances that
+    /// have ended since are included, because the upstreams received their requests.
+    pub fn sent(&self, now_ms: u64) -> BTreeMap<Arc<str>, SentRequests> {
+        let remote = self
+            .remote_domains
+            .values()
+            .filter(|remote| remote.received_ms + self.window_ms > now_ms);
+        let remote = remote.flat_map(|remote| &remote.sent);
+        let peers = self.peers.values().flat_map(|peer| &peer.sent);
+        let mut totals = total_by_service(peers.chain(remote));
+        for ended in self.sent_by_ended(now_ms) {
+            add_sent(&mut totals, &ended);
+        }
+        totals
+    }
+
+    /// The requests that other instances of this failure domain sent within the window and that have
+    /// ended since: for each service, the larger of what this instance saw and what its peers
+    /// reported.
+    fn sent_by_ended(&self, now_ms: u64) -> Vec<SentRequests> {
+        let mut seen = total_by_service(self.observed_ended(now_ms).iter());
+        let reported = self.reported_ended.as_ref();
+        let reported = reported.filter(|reported| reported.received_ms + self.window_ms > now_ms);
+        for sent in reported.into_iter().flat_map(|reported| &reported.sent) {
+            let known = seen.entry(Arc::clone(&sent.service)).or_insert_with(|| sent.clone());
+            known.requests = known.requests.max(sent.requests);
+            known.repeats = known.repeats.max(sent.repeats);
+        }
+        seen.into_values().collect()
+    }
+
+    /// The same as this instance saw it itself, which is what it reports to its peers.
+    pub fn observed_ended(&self, now_ms: u64) -> Vec<SentRequests> {
+        let ended = self.ended.iter().filter(|ended| ended.received_ms + self.window_ms > now_ms);
+        total_by_service(ended.flat_map(|ended| &ended.sent)).into_values().collect()
+    }
+
+    fn sent_in_domain(&self, own: &LocalTraffic, now_ms: u64) -> Vec<SentRequests> {
+        let peers = self.peers.values().flat_map(|peer| &peer.sent).chain(&own.sent);
+        let mut totals = total_by_service(peers);
+        for ended in self.sent_by_ended(now_ms) {
+            add_sent(&mut totals, &ended);
+        }
+        totals.into_values().collect()
+    }
+}
+
+/// Replaces one instance's load at an upstream within a total.
+fn replace_load(
+    totals: &mut BTreeMap<Arc<str>, UpstreamLoad>,
+    before: Option<&UpstreamLoad>,
+    now: &UpstreamLoad,
+) {
+    let id = Arc::clone(&now.upstream);
+    let total =
+        totals.entry(Arc::clone(&id)).or_insert_with(|| UpstreamLoad::empty(Arc::clone(&id)));
+    if let Some(before) = before {
+        total.subtract(before);
+    }
+    total.add(now);
+    if total.is_empty() {
+        totals.remove(&id);
+    }
+}
+
+fn total_by_service<'a>(
+    all: impl Iterator<Item = &'a SentRequests>,
+) -> BTreeMap<Arc<str>, SentRequests> {
+    let mut totals = BTreeMap::new();
+    for sent in all {
+        add_sent(&mut totals, sent);
+    }
+    totals
+}
+
+fn add_sent(totals: &mut BTreeMap<Arc<str>, SentRequests>, sent: &SentRequests) {
+    let service = Arc::clone(&sent.service);
+    let empty = || SentRequests { service, requests: 0, repeats: 0 };
+    let total = totals.entry(Arc::clone(&sent.service)).or_insert_with(empty);
+    total.requests += sent.requests;
+    total.repeats += sent.repeats;
+}
--- a/src/gateway/traffic.rs
+++ b/src/gateway/traffic.rs
@@ -407,7 +407,7 @@
         let mut own = LocalTraffic::default();
         let places = self.places.borrow();
         let placed = places.iter().flat_map(|(part, at)| at.iter().map(|at| (*part, at)));
-        own.places = placed.map(|(part, at)| (part, Arc::clone(&at.upstream))).collect();
+        own.cache_locations = placed.map(|(part, at)| (part, Arc::clone(&at.upstream))).collect();
         for (service, budget) in self.budgets.borrow().iter() {
             let (requests, repeats) = budget.sums();
             own.sent.push(SentRequests { service: Arc::clone(service), requests, repeats });
@@ -423,7 +423,7 @@
                 reserved_tokens: worker.reserved_tokens.get(),
             };
             if !held.is_empty() {
-                own.held.push(held);
+                own.loads.push(held);
             }
         }
         self.shared.set_own(own);
--- a/src/gateway/traffic/places.rs
+++ b/src/gateway/traffic/places.rs
@@ -97,7 +97,7 @@
 
     /// The engines that read a part of a prompt; the last one that this instance knows of is last.
     fn places_of(&self, part: u64, view: &View) -> Vec<Arc<str>> {
-        let mut engines: Vec<Arc<str>> = view.places.of(part).cloned().collect();
+        let mut engines: Vec<Arc<str>> = view.places.engines_of(part).cloned().collect();
         if let Some(own) = self.places.borrow().get(&part) {
             engines.extend(own.iter().map(|place| Arc::clone(&place.upstream)));
         }
