--- a/src/gateway/loads/message.rs
+++ b/src/gateway/loads/message.rs
@@ -34,7 +34,7 @@
 /// Summary of the traffic of all instances of a failure domain, for the other domains.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Digest {
-    /// The failure domain.
+    /// The failure domain of these instances.
     pub domain: Arc<str>,
     /// Their load at upstreams where it changed recently, and at some others.
     pub loads: Vec<UpstreamLoad>,
@@ -59,8 +59,7 @@
     pub fleet: Delta,
     /// Address of an instance that holds the whole list, for instances that have none.
     pub holder: Option<SocketAddr>,
-    /// If `fleet` is limited to the upstreams of large services that the receiver holds, which these
-    /// are.
+    /// The receiver's subset of the list, if `fleet` covers only this.
     pub subset: Option<UpstreamSubset>,
 }
 
--- a/src/gateway/loads/peer_loads.rs
+++ b/src/gateway/loads/peer_loads.rs
@@ -12,9 +12,9 @@
 /// Loads of that age still show which of a hundred engines are busy, because a request runs for
 /// seconds.
 pub const DIGEST_INTERVAL_MS: u64 = 150;
-/// How long digests repeat a change, in milliseconds. They are sent every [`DIGEST_INTERVAL_MS`] on average,
-/// at random times, so one in fifty changes is in none of them; the unchanged upstreams that digests
-/// also repeat make up for it.
+/// How long digests repeat a change, in milliseconds. They are sent every [`DIGEST_INTERVAL_MS`] on
+/// average, at random times, so one in fifty changes is in none of them; the unchanged upstreams that
+/// digests also repeat make up for it.
 const CHANGE_REPEAT_MS: u64 = 600;
 /// Number of upstreams that a digest repeats without a change, so that each is repeated within a
 /// second or two.
@@ -256,19 +256,19 @@
         self.ended.retain(|ended| ended.received_ms + window_ms > now_ms);
         self.cache_locations.remove_expired(now_ms);
         let total = &mut self.total;
-        let mut is_any = false;
+        let mut has_removed = false;
         for remote in self.remote_domains.values_mut() {
             remote.loads.retain(|_, (load, received_ms)| {
                 let is_kept = *received_ms + REMOTE_LOAD_TTL_MS > now_ms;
                 if !is_kept {
                     let empty = UpstreamLoad::empty(Arc::clone(&load.upstream));
                     replace_load(Arc::make_mut(total), Some(load), &empty);
-                    is_any = true;
+                    has_removed = true;
                 }
                 is_kept
             });
         }
-        is_any
+        has_removed
     }
 
     /// The requests that the other instances sent to each service within the window. Instances that
@@ -287,9 +287,8 @@
         totals
     }
 
-    /// The requests that other instances of this failure domain sent within the window and that have
-    /// ended since: for each service, the larger of what this instance saw and what its peers
-    /// reported.
+    /// The requests sent within the window by other instances of this failure domain that have ended
+    /// since: for each service, the larger of what this instance saw and what its peers reported.
     fn sent_by_ended(&self, now_ms: u64) -> Vec<SentRequests> {
         let mut seen = total_by_service(self.observed_ended(now_ms).iter());
         let reported = self.reported_ended.as_ref();
--- a/src/gateway/membership/members.rs
+++ b/src/gateway/membership/members.rs
@@ -228,14 +228,14 @@
         now_ms: u64,
     ) -> bool {
         let rumor = Rumor::Member { descriptor, state, reporter };
-        let known = self.merge(&rumor, now_ms);
-        match known {
+        let kind = self.merge(&rumor, now_ms);
+        match kind {
             UpdateKind::Duplicate => self.rumors.note_duplicate(&rumor),
             UpdateKind::Outdated => {}
             UpdateKind::Arrival => self.rumors.add_arrival(rumor, self.members.len() + 1),
             UpdateKind::Urgent => self.spread(rumor),
         }
-        matches!(known, UpdateKind::Arrival | UpdateKind::Urgent)
+        matches!(kind, UpdateKind::Arrival | UpdateKind::Urgent)
     }
 
     /// Merges members that another instance already knows. Few others lack them, so only urgent
@@ -323,8 +323,8 @@
     /// Refutes a rumor that this instance is suspect or dead, or that comes from a previous
     /// incarnation under its id.
     fn refute(&mut self, descriptor: &InstanceDescriptor, state: MemberState) {
-        let is_other_life = descriptor.registration.incarnation != self.me().incarnation;
-        let is_wrong = state != MemberState::Alive || is_other_life;
+        let is_other_incarnation = descriptor.registration.incarnation != self.me().incarnation;
+        let is_wrong = state != MemberState::Alive || is_other_incarnation;
         if is_wrong && descriptor.version >= self.descriptor.version {
             self.descriptor.version = descriptor.version;
             self.announce();
@@ -503,7 +503,7 @@
     Duplicate,
     /// An instance is alive that was alive before or was unknown; most updates are of this kind.
     Arrival,
-    /// Any other change: a suspicion, a death, a refutation or a planned stop.
+    /// Any other change: a suspicion, its second observer, a death, a refutation or a planned stop.
     Urgent,
 }
 
--- a/src/gateway/membership/message.rs
+++ b/src/gateway/membership/message.rs
@@ -20,7 +20,7 @@
 /// A datagram.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// Asks the receiver for an [`Message::Ack`], to check that it is alive.
+    /// Asks the receiver for a [`Message::Ack`], to check that it is alive.
     Ping(Probe),
     /// Answers a ping.
     Ack(Probe),
@@ -49,7 +49,7 @@
     Upstream(Upstream),
     /// Asks the instance that owns an upstream's token bucket for a permit.
     AskPermit(PermitQuery),
-    /// Answers [`Message::AskPermit`], with the number of the question.
+    /// Answers [`Message::AskPermit`], with the number of the query.
     Permit(u64, Permit),
     /// Rate limits and departures that upstreams announced in their responses.
     Signals(SignalUpdate),
@@ -78,7 +78,7 @@
 /// Asks for a permit to send one request to an upstream that limits its rate.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PermitQuery {
-    /// Number of the question at its sender; the answer repeats it.
+    /// Number of the query at its sender; the answer repeats it.
     pub number: u64,
     /// Id of the upstream.
     pub upstream: Arc<str>,
--- a/src/gateway/membership/rumors.rs
+++ b/src/gateway/membership/rumors.rs
@@ -14,7 +14,7 @@
 /// Interval between two rounds that send the same rumor, in milliseconds: long enough for the
 /// receivers of one round to have passed it on.
 pub const GOSSIP_INTERVAL_MS: u64 = 60;
-/// Number of instances that one gossip round is sent to.
+/// Maximum number of instances of the same failure domain that one gossip round is sent to.
 pub(super) const GOSSIP_FANOUT: usize = 4;
 /// Maximum number of rumors in one message, which keeps it below 4 KB.
 const MAX_RUMORS_PER_MESSAGE: usize = 32;
