--- a/src/gateway/membership/members.rs
+++ b/src/gateway/membership/members.rs
@@ -372,7 +372,7 @@
         self.checksum = None;
     }
 
-    /// Raises the version of this instance's own entry and gossips it to all.
+    /// Raises the version of this instance's own descriptor and gossips it to all.
     fn announce(&mut self) {
         self.descriptor.version += 1;
         self.checksum = None;
