--- a/src/gateway/policy/quarantine.rs
+++ b/src/gateway/policy/quarantine.rs
@@ -1,11 +1,12 @@
-//! Which requests crash the upstreams that run them, and are kept from all others: the quarantine of
-//! poison requests, as pure bookkeeping.
+//! Quarantine of poison requests: recognises requests that crash the upstreams running them, and
+//! keeps those requests from all upstreams. Pure bookkeeping without I/O.
 //!
-//! A request whose upstream ends may have caused it, or have been beside the one that did. What tells
-//! them apart is that one crashes the next upstream too, and right away. So the crashes of a
-//! fingerprint are added up over all instances, those in which its run had just begun count more, those
-//! that have a common cause not at all, and whatever is served anywhere is cleared of all of them.
-//! See [docs/DESIGN.md](../../../docs/DESIGN.md), "Poison requests".
+//! When an upstream crashes, each request on it may be the cause or may only have shared the
+//! upstream. A poison request is told apart by crashing the next upstream as well, shortly after it
+//! starts there. Crashes are therefore summed per request fingerprint over all instances. A crash
+//! counts more when the run had just started, and not at all when other upstreams ended at about
+//! the same time from a common cause. A request that is served anywhere is cleared of all its
+//! crashes. See [docs/DESIGN.md](../../../docs/DESIGN.md), "Poison requests".
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,38 +16,45 @@
 use super::super::fleet::Upstream;
 use super::coincidence::{Ends, SETTLE_MS};
 
-/// Crashes while the run had just begun after which a request is quarantined. With two, a request that
-/// went on beside the one to blame once would be taken for it.
+/// Crashes of just-started runs after which a request is quarantined. With two, an innocent request
+/// that lost one upstream to a poison request, and was retried on the same next upstream, would be
+/// quarantined as well.
 const CRASHES: u32 = 3;
-/// What a crash counts while the run had just begun.
+/// Points for a crash when the run had just started.
 const BEGUN_POINTS: u32 = 2;
-/// What it counts while the request waited or its prompt was read: most such requests only shared the
-/// upstream, and one that crashes it while its prompt is read does so again and again.
+/// Points for a crash while the request was queued or its prompt was being processed. Most such
+/// requests only shared the upstream; one that crashes upstreams during prompt processing does so
+/// repeatedly.
 const WAITING_POINTS: u32 = 1;
-/// The points at which a request is quarantined.
+/// Points at which a request is quarantined.
 const QUARANTINE_POINTS: u32 = CRASHES * BEGUN_POINTS;
-/// Events until which a run that is lost had just begun.
+/// Number of events up to which a lost run counts as just started.
 const FEW_EVENTS: u64 = 3;
-/// How long after the head of its answer it had, however many: a quick engine makes some before it ends.
+/// Time after the response head within which a lost run counts as just started, whatever its number
+/// of events: a fast engine produces several before it crashes.
 const BEGUN_MS: u64 = 250;
-/// Events beyond the last crash that clear a run: it goes on where it was thought to crash upstreams.
+/// Number of events past the last crash that clear a run: it got past the point at which it was
+/// suspected of crashing upstreams.
 pub const CLEARING_EVENTS: u64 = 8;
 
-/// How long a request stays quarantined, and how long crashes are remembered of one that isn't.
+/// How long a request stays quarantined, and how long crashes are kept of a request that isn't.
 pub const QUARANTINE_MS: u64 = 10 * 60_000;
-/// Fingerprints that are remembered; beyond, the one with the fewest points goes.
+/// Maximum number of crash records; beyond it, the one with the fewest points is evicted.
 const MOST_RECORDS: usize = 512;
-/// Crashes that wait to be judged.
+/// Maximum number of crashes waiting to be judged.
 const MOST_UNSETTLED: usize = 1_024;
-/// Ends that are told at once: when a domain loses power, each instance has a few such runs there.
+/// Maximum number of early crashes queued for peers: when a failure domain loses power, each
+/// instance has only a few such runs there.
 const MOST_ENDS_TOLD: usize = 16;
-/// Records that are told at once.
+/// Maximum number of records in one sync batch.
 const MOST_TOLD: usize = 16;
-/// A quarantine that is told to last so much longer is taken over; less is the message's own delay.
+/// A received quarantine end replaces the known one only if it is later by more than this; smaller
+/// differences are message delay.
 const TOLD_LATE_MS: u64 = 2_000;
 
-/// How far a stream had come that was lost at an upstream so long after the head of its answer, if that had
-/// come, and so many events; `None` for one that had run for a while, which crashed nothing by beginning.
+/// Returns the stage of a stream that was lost at an upstream, given the time since the response
+/// head (`None` if it had not arrived) and the number of events since. Returns `None` for a run
+/// that had been going for a while, whose start can't have caused the crash.
 pub fn stage_of_stream(answered_ms: Option<u64>, events: u64) -> Option<Stage> {
     match answered_ms {
         None => Some(Stage::Waiting),
@@ -55,7 +63,7 @@
     }
 }
 
-/// What a crash counts.
+/// Returns the points for a crash at a stage.
 pub fn points(stage: Stage) -> u32 {
     match stage {
         Stage::Waiting => WAITING_POINTS,
@@ -63,20 +71,20 @@
     }
 }
 
-/// Whether one more crash may quarantine a request with so many points, so that it should not be sent
-/// anywhere before those that it has are judged.
+/// Returns whether one more crash may quarantine a request with so many points. Such a request
+/// should not be sent anywhere before its pending crashes are judged.
 pub fn may_follow(points: u32) -> bool {
     points + BEGUN_POINTS >= QUARANTINE_POINTS
 }
 
-/// What is known of a fingerprint.
+/// Crash record of a fingerprint.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 struct Record {
-    /// Grows each time it is cleared; what was told of an earlier one is void.
+    /// Incremented each time the request is cleared; reports from a lower epoch are obsolete.
     epoch: u64,
-    /// The crashes, by upstream.
+    /// Stage of each crash, by upstream.
     crashes: BTreeMap<Arc<str>, Stage>,
-    /// The last event before any of them.
+    /// Highest event delivered to the caller before any of the crashes.
     event: u64,
     until_ms: Option<u64>,
     changed_ms: u64,
@@ -92,76 +100,77 @@
     }
 }
 
-/// How a fingerprint stands, for traffic and operators.
+/// Crash status of a fingerprint, for request handling and for operators.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Suspect {
-    /// What its crashes count.
+    /// Sum of the points of its crashes.
     pub points: u32,
-    /// The upstreams that ended.
+    /// Number of upstreams that ended under it.
     pub crashes: usize,
-    /// Until when it is quarantined.
+    /// End of the quarantine; `None` if the request isn't quarantined.
     pub until_ms: Option<u64>,
 }
 
-/// All fingerprints that crashed anything.
+/// All fingerprints with at least one crash.
 pub type Suspects = BTreeMap<Fingerprint, Suspect>;
 
-/// What a crash means for its request.
+/// Outcome of judging a crash.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Judgement {
-    /// It counts against the request.
+    /// The crash counts against the request.
     Counted,
-    /// It had a common cause with the ends of other upstreams.
+    /// The crash doesn't count: it has a common cause with the ends of other upstreams.
     Coincident,
-    /// The request is quarantined from now on.
+    /// The crash counts, and the request is quarantined from now on.
     Quarantined,
 }
 
-/// The quarantine, as one instance knows it.
+/// Quarantine state of one instance.
 #[derive(Debug, Default)]
 pub struct Quarantine {
     records: BTreeMap<Fingerprint, Record>,
     unsettled: Vec<Crash>,
     ends: Ends,
-    /// Grows with each change of what is known.
+    /// Incremented on each change of `records`.
     version: u64,
-    /// Fingerprints of which peers have to hear.
+    /// Fingerprints whose records have changed and must be sent to peers.
     news: Vec<Fingerprint>,
-    /// Ends under runs that had just begun, of which they have to hear before anybody judges.
+    /// Early crashes, which peers must receive before any instance judges its own.
     ends_news: Vec<EndedUnder>,
-    /// Where the next telling of everything goes on.
+    /// Last fingerprint of the previous sync batch; the next batch continues after it.
     told_to: Option<Fingerprint>,
 }
 
 impl Quarantine {
-    /// Whether nothing is known or waits to be judged.
+    /// Returns whether there are neither records nor crashes waiting to be judged.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty() && self.unsettled.is_empty()
     }
 
-    /// Grows with each change of [`suspects`](Quarantine::suspects).
+    /// Incremented on each change of [`suspects`](Quarantine::suspects).
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Notes that an upstream has ended, whatever ran there.
+    /// Records that an upstream has ended, regardless of what it was running.
     pub fn note_end(&mut self, upstream: &Upstream, now_ms: u64) {
         self.ends.note(upstream, now_ms);
     }
 
-    /// Notes that an upstream ended under a run that had just begun, as a peer tells. Whether it is new.
+    /// Records a peer's report of an early crash. Returns whether it is new.
     pub fn hear_end(&mut self, upstream: &Upstream, fingerprint: Fingerprint, now_ms: u64) -> bool {
         self.ends.note_under(upstream, fingerprint, now_ms)
     }
 
-    /// The ends that peers should hear of at once: a request that is sent through several instances at once
-    /// would otherwise look like a common cause of all the upstreams that end.
+    /// Takes the early crashes to be sent to peers at once: a request that is sent through several
+    /// instances at the same time would otherwise look like a common cause of all the upstreams
+    /// that end.
     pub fn take_ends(&mut self) -> Vec<EndedUnder> {
         std::mem::take(&mut self.ends_news)
     }
 
-    /// Notes that an upstream has ended under a request; judged a moment later by
-    /// [`settle`](Quarantine::settle). Two attempts at one upstream count once.
+    /// Records that an upstream has ended under a request. [`settle`](Quarantine::settle) judges
+    /// the crash a moment later. Two attempts at one upstream count once.
     pub fn note_crash(&mut self, crash: Crash) {
         let Crash { fingerprint, upstream, .. } = &crash;
         self.ends.note(upstream, crash.at_ms);
@@ -183,12 +192,13 @@
         }
     }
 
-    /// When the next crash is to be judged.
+    /// Returns when the next crash is due to be judged.
     pub fn settles_ms(&self) -> Option<u64> {
         self.unsettled.iter().map(|crash| crash.at_ms + SETTLE_MS).min()
     }
 
-    /// Judges the crashes that are old enough, among these upstreams; what became of each.
+    /// Judges the crashes that have waited long enough, given the known upstreams. Returns each
+    /// with its judgement.
     pub fn settle(
         &mut self,
         upstreams: &BTreeMap<Arc<str>, Upstream>,
@@ -207,8 +217,8 @@
         settled
     }
 
-    /// Whether a crash has a common cause with the ends of other upstreams; those that ended under the same
-    /// request, however quickly, are none.
+    /// Returns whether a crash has a common cause with the ends of other upstreams. Upstreams that
+    /// ended under the same request don't count as others, however close in time.
     fn is_coincident(
         &self,
         crash: &Crash,
@@ -241,7 +251,7 @@
         }
     }
 
-    /// Quarantines a request that has crashed enough. Whether it is new.
+    /// Quarantines a request that has enough points. Returns whether that is new.
     fn judge(&mut self, fingerprint: Fingerprint, now_ms: u64) -> bool {
         let Some(record) = self.records.get_mut(&fingerprint) else { return false };
         let is_new = record.until_ms.is_none() && record.points() >= QUARANTINE_POINTS;
@@ -251,7 +261,8 @@
         is_new
     }
 
-    /// Clears a request that was served after all: completely, or so far beyond the last crash.
+    /// Clears a request that was served: completely if `event` is `None`, otherwise if it got far
+    /// enough past the last crash.
     pub fn clear_served(&mut self, fingerprint: Fingerprint, event: Option<u64>, now_ms: u64) {
         let is_beyond = |crashed: u64| event.is_none_or(|event| event >= crashed + CLEARING_EVENTS);
         let is_served = |crash: &Crash| crash.fingerprint == fingerprint && is_beyond(crash.event);
@@ -261,7 +272,8 @@
         }
     }
 
-    /// Clears a request whatever is known of it, as operators may. Whether anything was.
+    /// Clears a request unconditionally, at an operator's command. Returns whether it had any
+    /// crashes.
     pub fn lift(&mut self, fingerprint: Fingerprint, now_ms: u64) -> bool {
         self.unsettled.retain(|crash| crash.fingerprint != fingerprint);
         self.clear(fingerprint, now_ms)
@@ -272,13 +284,15 @@
         if record.crashes.is_empty() {
             return false;
         }
-        // The empty record stays, so that what others still tell of the crashes is void.
+        // Keep the empty record with its new epoch: it makes crashes that peers still report
+        // obsolete.
         *record = Record { epoch: record.epoch + 1, changed_ms: now_ms, ..Record::default() };
         self.note_change(fingerprint);
         true
     }
 
-    /// Takes in what a peer tells. Whether it quarantines the request anew here.
+    /// Merges a record received from a peer. Returns whether the request is newly quarantined here
+    /// as a result.
     pub fn hear(&mut self, told: CrashRecord, now_ms: u64) -> bool {
         let fingerprint = told.fingerprint;
         let changed_ms = now_ms.saturating_sub(told.age_ms);
@@ -316,7 +330,8 @@
         }
     }
 
-    /// Forgets the record with the fewest points, if one more would be too many.
+    /// Evicts the record with the fewest points if one more would exceed the limit; quarantined
+    /// requests are evicted last.
     fn make_room(&mut self, fingerprint: Fingerprint) {
         if self.records.len() < MOST_RECORDS || self.records.contains_key(&fingerprint) {
             return;
@@ -328,7 +343,7 @@
         least.and_then(|fingerprint| self.records.remove(&fingerprint));
     }
 
-    /// Forgets what is over.
+    /// Removes expired records.
     pub fn forget(&mut self, now_ms: u64) {
         let before = self.records.len();
         self.records.retain(|_, record| !record.is_over(now_ms));
@@ -337,29 +352,29 @@
         }
     }
 
-    /// What changed since this was last asked, for all peers.
+    /// Takes the records that changed since the last call, to be sent to all peers.
     pub fn take_news(&mut self, now_ms: u64) -> Vec<CrashRecord> {
         let news = std::mem::take(&mut self.news);
         news.into_iter().filter_map(|fingerprint| self.record(fingerprint, now_ms)).collect()
     }
 
-    /// The next part of everything, for a peer that may have missed it.
+    /// Returns the next batch of all records, for a peer that may have missed updates.
     pub fn next_part(&mut self, now_ms: u64) -> Vec<CrashRecord> {
         let after = self.told_to;
         let is_next = |fingerprint: &&Fingerprint| after.is_none_or(|after| **fingerprint > after);
         let part: Vec<Fingerprint> =
             self.records.keys().filter(is_next).take(MOST_TOLD).copied().collect();
-        // A part that isn't full is the last one.
+        // A batch that isn't full is the last one.
         self.told_to = part.last().copied().filter(|_| part.len() == MOST_TOLD);
         part.into_iter().filter_map(|fingerprint| self.record(fingerprint, now_ms)).collect()
     }
 
-    /// Whether a request is quarantined.
+    /// Returns whether a request is quarantined.
     pub fn is_quarantined(&self, fingerprint: Fingerprint) -> bool {
         self.records.get(&fingerprint).is_some_and(|record| record.until_ms.is_some())
     }
 
-    /// What is known of a request, as others are told.
+    /// Returns the record of a request in the form that peers receive.
     pub fn record(&self, fingerprint: Fingerprint, now_ms: u64) -> Option<CrashRecord> {
         let record = self.records.get(&fingerprint)?;
         let crashes = record.crashes.iter().map(|(id, stage)| (Arc::clone(id), *stage));
@@ -373,7 +388,7 @@
         })
     }
 
-    /// How all fingerprints stand that crashed anything.
+    /// Returns the status of all fingerprints with at least one crash.
     pub fn suspects(&self) -> Suspects {
         let known = self.records.iter().filter(|(_, record)| !record.crashes.is_empty());
         let standing = |record: &Record| Suspect {
@@ -385,7 +400,8 @@
     }
 }
 
-/// What two instances know together: of the later epoch, all crashes, and the longer quarantine.
+/// Merges the records of two instances. The later epoch wins; within one epoch, the result has the
+/// crashes of both and the later quarantine end.
 fn merge(known: &Record, heard: Record) -> Record {
     if heard.epoch != known.epoch {
         return if heard.epoch > known.epoch { heard } else { known.clone() };
@@ -400,7 +416,7 @@
         merged.changed_ms = merged.changed_ms.max(heard.changed_ms);
     }
     merged.until_ms = match (known.until_ms, heard.until_ms) {
-        // Each telling is a little late, and must not make it longer from hop to hop.
+        // Each message arrives a little late, which must not prolong the quarantine with every hop.
         (Some(known_ms), Some(heard_ms)) if heard_ms <= known_ms + TOLD_LATE_MS => Some(known_ms),
         (known_ms, heard_ms) => known_ms.max(heard_ms),
     };
