--- a/src/gateway/policy/scaling.rs
+++ b/src/gateway/policy/scaling.rs
@@ -1,76 +1,81 @@
-//! How many workers of a service are wanted in each failure domain, and of which kind: pure steps.
+//! Decides how many workers of a service each failure domain should have, and how many of them on
+//! demand or spot. Pure state machine without I/O.
 //!
-//! The total follows the demand that is measured, never below what was there before any demand was
-//! seen for long enough. Workers that may be reclaimed and cost less take the place of the others once
-//! they are there; where they are reclaimed, or none can be had, ordinary ones are wanted again. An order
-//! states a number, and is repeated while its effect is not seen: one that was lost may still be carried
-//! out after newer ones. See [docs/design/duties.md](../../../docs/design/duties.md).
+//! The total follows the measured demand, but doesn't drop below the number of workers found at the
+//! start until demand has been observed for long enough. Spot workers cost less and may be
+//! reclaimed by the platform at any time. They replace on-demand workers once they are running;
+//! where they are reclaimed or unavailable, on-demand workers are ordered again. An order states an
+//! absolute number, and is repeated until its effect is visible: one that seemed lost may still be
+//! executed after newer ones. See [docs/design/duties.md](../../../docs/design/duties.md).
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 use super::super::route::Scaling;
 
-/// The part of the workers' places that demand may take: a failure domain of four may be lost, and each
-/// run has a copy.
+/// Target utilization of the workers: it leaves room for the loss of one of four failure domains,
+/// and for a copy of each run's KV cache at a second worker.
 const TARGET_PART: f64 = 0.45;
-/// The part of what is wanted below which fewer are ordered, so that a dip changes nothing.
+/// Fewer workers are ordered only if demand needs less than this fraction of the total, so that a
+/// dip changes nothing.
 const FEWER_PART: f64 = 0.6;
 /// How long demand must have been that low.
 const FEWER_AFTER_MS: u64 = 20_000;
-/// How long a worker counts as there after it was last seen: one that crashes is back within seconds.
+/// How long a worker counts as running after it was last seen: one that crashes is back within
+/// seconds.
 const SEEN_MS: u64 = 6_000;
-/// How long an order that was refused since none can be had is not repeated.
+/// How long an order that was refused for lack of capacity is not repeated.
 const NONE_LEFT_MS: u64 = 3_000;
-/// How long after an order its effect may take, beyond a worker's start.
+/// How long an order may take to have an effect, in addition to a worker's start time.
 const EFFECT_MS: u64 = 4_000;
 
-/// Workers that a failure domain has of one kind.
+/// Number of workers of one kind in a failure domain.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Seen {
-    /// Those that take work.
+    /// Workers that accept requests.
     pub ready: u32,
-    /// Those that said that they leave.
+    /// Workers that have announced that they are leaving.
     pub leaving: u32,
 }
 
-/// Which workers an order is about.
+/// The workers that an order is about.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Subject {
     /// The service.
     pub service: Arc<str>,
     /// The failure domain.
     pub domain: Arc<str>,
-    /// Whether they may be reclaimed.
+    /// Whether they are spot workers.
     pub is_spot: bool,
 }
 
-/// An order: so many workers.
+/// An order to the platform: the number of workers that a group should have.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Order {
-    /// Which.
+    /// The group.
     pub subject: Subject,
-    /// How many.
+    /// The number of workers.
     pub desired: u32,
 }
 
-/// What is known of a service.
+/// Observed state of a service.
 #[derive(Debug, Clone)]
 pub struct Known<'a> {
     /// The service.
     pub service: &'a Arc<str>,
-    /// What was agreed on.
+    /// Scaling policy of the service.
     pub terms: &'a Scaling,
-    /// Its workers, by failure domain and whether they may be reclaimed.
+    /// Its workers, by failure domain and whether they are spot workers.
     pub workers: &'a BTreeMap<(Arc<str>, bool), Seen>,
-    /// The workers that all requests and copies fill, if each is filled to the brim.
+    /// Demand of all requests and KV cache copies, as the number of workers that they would fill
+    /// completely.
     pub filled: f64,
 }
 
 impl Known<'_> {
-    /// The workers that the failure domain with most of them has, where one kind takes the place of the
-    /// other: a holder that has just taken over can't tell how many were wanted, and one domain may have
-    /// lost all of its workers.
+    /// Returns the number of workers in the failure domain that has the most, counting a spot
+    /// worker and the on-demand worker that it replaces once. A holder that has just taken over
+    /// can't know how many were wanted, and one domain may have lost all of its workers.
     fn in_fullest_domain(&self) -> u32 {
         let ready = |domain: &Arc<str>, is_spot: bool| {
             self.workers.get(&(Arc::clone(domain), is_spot)).map_or(0, |seen| seen.ready)
@@ -97,7 +102,7 @@
     none_left_until_ms: u64,
 }
 
-/// What the holder of the duty has ordered and seen.
+/// Orders sent and workers observed by the holder of the duty lease.
 #[derive(Debug, Default)]
 pub struct Scaler {
     present: BTreeMap<Subject, Presence>,
@@ -107,7 +112,7 @@
 }
 
 impl Scaler {
-    /// The orders to be sent now.
+    /// Returns the orders to send now.
     pub fn step(&mut self, known: &Known<'_>, now_ms: u64) -> Vec<Order> {
         if !known.terms.is_sound() {
             return Vec::new();
@@ -131,7 +136,7 @@
         orders
     }
 
-    /// How many are wanted of each kind in a failure domain.
+    /// Returns the wanted number of on-demand and of spot workers in a failure domain.
     fn kinds(
         &mut self,
         known: &Known<'_>,
@@ -148,12 +153,13 @@
         let there = self.present(known, &subject, now_ms);
         let kept = least.min(wanted);
         let ordinary = kept + (wanted - kept).saturating_sub(there);
-        // The bounds are for both kinds together.
+        // The limits apply to both kinds together.
         let spot = (wanted - kept).min(most.saturating_sub(ordinary));
         (ordinary, spot)
     }
 
-    /// Workers that are there, or were a moment ago and haven't said that they leave.
+    /// Returns the number of workers that are running, or were a moment ago and have not announced
+    /// that they are leaving.
     fn present(&mut self, known: &Known<'_>, subject: &Subject, now_ms: u64) -> u32 {
         let key = (Arc::clone(&subject.domain), subject.is_spot);
         let seen = known.workers.get(&key).copied().unwrap_or_default();
@@ -165,7 +171,7 @@
         present.count
     }
 
-    /// How many are wanted in all failure domains.
+    /// Returns the number of workers wanted in all failure domains together.
     fn total(&mut self, known: &Known<'_>, now_ms: u64) -> u32 {
         let there = known.in_fullest_domain() * known.terms.prices.len() as u32;
         let needed = (known.filled / TARGET_PART).ceil() as u32;
@@ -195,7 +201,7 @@
         ordered.desired != desired || !ordered.is_acknowledged || (is_late && there != desired)
     }
 
-    /// Notes that an order was sent, and whether it was taken.
+    /// Records that an order was sent, and whether the platform acknowledged it.
     pub fn note_sent(&mut self, order: &Order, is_acknowledged: bool, now_ms: u64) {
         let ordered = Ordered {
             desired: order.desired,
@@ -206,7 +212,7 @@
         self.ordered.insert(order.subject.clone(), ordered);
     }
 
-    /// Notes that none can be had for an order.
+    /// Records that the platform has no capacity for an order.
     pub fn note_none_left(&mut self, order: &Order, now_ms: u64) {
         self.note_sent(order, false, now_ms);
         if let Some(ordered) = self.ordered.get_mut(&order.subject) {
@@ -214,7 +220,7 @@
         }
     }
 
-    /// Forgets everything, when the duty has gone to another.
+    /// Resets all state, when another instance has taken over the duty.
     pub fn clear(&mut self) {
         *self = Scaler::default();
     }
