--- a/src/gateway/policy/usage.rs
+++ b/src/gateway/policy/usage.rs
@@ -1,57 +1,61 @@
-//! How many requests of each organisation began to run, in windows of true time: pure steps.
+//! Counts how many requests of each organisation started to run, per window of cluster time. Pure
+//! state machine without I/O.
 //!
-//! Each instance counts in slots of its own steady clock and repeats the last seconds of them to a few
-//! others. A slot's count only grows, and of two reports of it the larger one holds, so that a message
-//! that comes twice, late or not at all changes nothing in the end. What an instance that ended had told
-//! stays known, under its incarnation. Windows are those of true time, which is the median of what the
-//! clocks of all instances say. See [docs/design/duties.md](../../../docs/design/duties.md).
+//! Each instance counts in slots of its own monotonic clock and repeatedly sends the slots of the
+//! last seconds to a few others. The count of a slot only grows, and the larger of two reported
+//! counts wins, so duplicate, delayed or lost messages don't affect the final result. What an
+//! instance had sent before it ended is kept under its incarnation. Windows are defined by cluster
+//! time, the median of the wall clocks of all instances. See
+//! [docs/design/duties.md](../../../docs/design/duties.md).
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
 
-/// The length of a slot: at the edges of a window of seconds, some parts in a hundred of it.
+/// Length of a slot. A slot belongs to one window as a whole, so the error at the edges of a window
+/// of several seconds is a few percent.
 pub const SLOT_MS: u64 = 100;
-/// How long a slot is repeated: a call is known to have run only when it is answered.
+/// How long a slot is sent again: a call is known to have run only once its response arrives.
 const REPEATED_MS: u64 = 4_000;
-/// How long what others told is kept: until the report of its window can't be due any more.
+/// How long counts received from others are kept: until the report of their window can no longer be
+/// due.
 const KEPT_MS: u64 = 60_000;
-/// How long what a clock said counts.
+/// How long the clock reading of an instance is used.
 const CLOCK_MS: u64 = 15_000;
 
-/// Requests that began, by organisation.
+/// Number of requests that started, by organisation.
 pub type Counts = BTreeMap<Arc<str>, u64>;
 
-/// What an instance tells of what it counted.
+/// Counts that an instance sends to others.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UsageNews {
-    /// Who counted.
+    /// The instance that counted.
     pub id: Arc<str>,
     /// Its incarnation.
     pub incarnation: u64,
-    /// What its steady clock said when it sent this.
+    /// Its monotonic clock when it sent this update.
     pub steady_ms: u64,
-    /// What its clock said of the time of day then.
+    /// Its wall clock when it sent this update.
     pub wall_ms: u64,
-    /// Its counts by slot of its steady clock.
+    /// Its counts, by slot of its monotonic clock.
     pub slots: BTreeMap<u64, Counts>,
 }
 
-/// What one instance counts.
+/// Counts of one instance.
 #[derive(Debug, Default)]
 pub struct Counter {
     slots: BTreeMap<u64, Counts>,
 }
 
 impl Counter {
-    /// Counts a request that began at a time of the steady clock.
+    /// Counts a request that started at a time of the monotonic clock.
     pub fn count(&mut self, organisation: Arc<str>, began_ms: u64) {
         let slot = self.slots.entry(began_ms / SLOT_MS).or_default();
         *slot.entry(organisation).or_insert(0) += 1;
     }
 
-    /// The slots that are told now.
+    /// Returns the slots to send now, and drops older ones.
     pub fn told(&mut self, now_ms: u64) -> BTreeMap<u64, Counts> {
         let first = now_ms.saturating_sub(REPEATED_MS) / SLOT_MS;
         self.slots = self.slots.split_off(&first);
@@ -61,19 +65,19 @@
 
 #[derive(Debug)]
 struct Origin {
-    /// Slots with the true time of their middle.
+    /// Each slot with the cluster time of its middle.
     slots: BTreeMap<u64, (u64, Counts)>,
     heard_ms: u64,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Clock {
-    /// What its time of day is ahead of this instance's steady clock.
+    /// The instance's wall clock minus this instance's monotonic clock.
     ahead_ms: u64,
     heard_ms: u64,
 }
 
-/// What all instances counted, as one of them knows.
+/// Counts of all instances, as known to one of them.
 #[derive(Debug, Default)]
 pub struct Usage {
     origins: BTreeMap<(Arc<str>, u64), Origin>,
@@ -81,7 +85,7 @@
 }
 
 impl Usage {
-    /// Takes in what an instance tells; this one hears itself in the same way.
+    /// Applies an update from an instance; the instance applies its own updates in the same way.
     pub fn hear(&mut self, news: UsageNews, now_ms: u64) {
         let clock = Clock { ahead_ms: news.wall_ms.saturating_sub(now_ms), heard_ms: now_ms };
         self.clocks.insert(Arc::clone(&news.id), clock);
@@ -104,14 +108,14 @@
         }
     }
 
-    /// The true time of day at a time of this instance's steady clock, as the clocks of most say.
+    /// Converts a time of this instance's monotonic clock to cluster time.
     pub fn true_ms(&self, now_ms: u64) -> u64 {
         let mut ahead_ms: Vec<u64> = self.clocks.values().map(|clock| clock.ahead_ms).collect();
         ahead_ms.sort_unstable();
         now_ms + ahead_ms.get(ahead_ms.len() / 2).copied().unwrap_or(0)
     }
 
-    /// What all counted in a window of true time.
+    /// Returns the counts of all instances in a window.
     pub fn counted(&self, window: Window) -> Counts {
         let slots = self.origins.values().flat_map(|origin| origin.slots.values());
         let inside = slots.filter(|(at_ms, _)| window.holds(*at_ms));
@@ -133,22 +137,22 @@
     }
 }
 
-/// A window of true time.
+/// A window of cluster time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Window {
-    /// Its number: so many windows began before it since 1970.
+    /// Number of windows that started before it since 1970.
     pub number: u64,
-    /// The length of all windows.
+    /// Length of every window.
     pub length_ms: u64,
 }
 
 impl Window {
-    /// The window that holds a time.
+    /// Returns the window that contains a time.
     pub fn at(true_ms: u64, length_ms: u64) -> Window {
         Window { number: true_ms / length_ms, length_ms }
     }
 
-    /// When it ends.
+    /// Returns when it ends.
     pub fn end_ms(self) -> u64 {
         (self.number + 1) * self.length_ms
     }
@@ -158,24 +162,24 @@
     }
 }
 
-/// Which windows are to be reported: each from a moment after its end, when the last counts are known,
-/// until it isn't taken any more.
+/// Determines which windows are due for a report: from a moment after a window's end, when its last
+/// counts are known, until its report is no longer accepted.
 #[derive(Debug, Clone, Copy)]
 pub struct Schedule {
-    /// The length of a window.
+    /// Length of a window.
     pub window_ms: u64,
-    /// How long after its end a report is taken.
+    /// How long after a window's end its report is accepted.
     pub late_ms: u64,
 }
 
 impl Schedule {
-    /// How long after a window's end its report is made: a part of the time in which it is due, so that a
-    /// next holder can still send it.
+    /// Returns how long after a window's end its report is made: a fraction of the time in which it
+    /// is accepted, so that the next lease holder can still send it.
     fn settle_ms(self) -> u64 {
         self.late_ms / 4
     }
 
-    /// The windows that may be reported at a true time, the oldest first.
+    /// Returns the windows that may be reported at a cluster time, oldest first.
     pub fn due(self, true_ms: u64) -> impl Iterator<Item = Window> {
         let Schedule { window_ms, late_ms } = self;
         let newest = true_ms.saturating_sub(self.settle_ms()) / window_ms;
