--- a/src/gateway/policy/lease.rs
+++ b/src/gateway/policy/lease.rs
@@ -1,57 +1,60 @@
-//! The lease that makes one instance the holder of duties that only one may have: pure steps.
+//! The lease that elects one instance to perform the duties, which only one instance at a time may
+//! perform. Pure state machine without I/O.
 //!
-//! The lease is an entry of the directory that is written only if there is none, and that the
-//! directory removes when it is not renewed in time. The revision of that write is the holder's fencing
-//! token: the directory makes each one once, and each later holder's is higher. A holder counts its
-//! time from before it asked, on a clock that counts a suspension, and stops earlier than the directory
-//! does; a write whose answer was lost is read back. See [docs/design/duties.md](../../../docs/design/duties.md).
+//! The lease is an entry in the directory that is written only if it doesn't exist, and that the
+//! directory removes when it is not renewed in time. The revision of that write is the holder's
+//! fencing token: each revision is unique, and each later holder has a higher one. A holder
+//! computes when its lease ends from the time before it sent its request, on a clock that also
+//! advances during a system suspend, and stops before the directory removes the entry. If the
+//! response to the write was lost, the entry is read back. See
+//! [docs/design/duties.md](../../../docs/design/duties.md).
 
 use std::sync::Arc;
 
-/// The part of the lease before whose end a holder stops: a call that it sends is then on its way for a
-/// time, and the directory's clock is not its own.
+/// Fraction of the lease, one in so many, by which a holder stops before the end: a call that it
+/// sends is in flight for a while, and the directory's clock differs from its own.
 const MARGIN_PART: u64 = 6;
-/// How often a lease is renewed while it lasts: one lost renewal is followed by two more.
+/// Renewals within one lease: a lost renewal is followed by two more.
 const RENEWALS: u64 = 3;
-/// How much longer each next instance in rank waits for those before it to take a free lease.
+/// How much longer each next instance in rank waits for those ahead of it to take a free lease.
 const NEXT_MS: u64 = 300;
 
-/// Who holds the lease, as the directory's entry says.
+/// The holder of the lease, as recorded in the directory's entry.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Holder {
-    /// The instance.
+    /// The instance that holds the lease.
     pub id: Arc<str>,
-    /// Drawn by it for this one write.
+    /// Random number that identifies this one write.
     pub nonce: u64,
-    /// The directory's revision of the write.
+    /// Fencing token: the directory's revision of the write.
     pub token: u64,
 }
 
-/// What is to be done about the lease.
+/// The next step to take about the lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Action {
-    /// Write the entry, if there is none, with this nonce.
+    /// Write the entry if there is none.
     Take {
-        /// The nonce.
+        /// Nonce of the write.
         nonce: u64,
     },
-    /// Read the entry: whether it was written is not known.
+    /// Read the entry, since it is unknown whether it was written.
     ReadBack,
-    /// Renew the directory's lease on it.
+    /// Renew the directory's lease on the entry.
     Renew {
-        /// That lease.
+        /// Id of the directory's lease.
         lease: u64,
     },
 }
 
-/// A write of the entry.
+/// An attempt to write the entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Try {
     /// Its nonce.
     pub nonce: u64,
-    /// The directory's lease on it.
+    /// Id of the directory's lease on the entry.
     pub lease: u64,
-    /// When it was asked for.
+    /// Time before the attempt's first request was sent.
     pub asked_ms: u64,
 }
 
@@ -63,36 +66,36 @@
     renew_ms: u64,
 }
 
-/// The lease as one instance knows it.
+/// Lease state of one instance.
 #[derive(Debug, Clone)]
 pub struct DutyLease {
     ttl_ms: u64,
     held: Option<Held>,
     unsure: Option<Try>,
-    /// Since when nobody holds it, as far as known.
+    /// Since when the lease has been free, as far as known; `None` if it is held.
     free_since_ms: Option<u64>,
 }
 
 impl DutyLease {
-    /// A lease that lasts so long without renewal, and that nobody is known to hold.
+    /// Creates a lease that lasts so long without renewal and that nobody is known to hold.
     pub fn new(ttl_ms: u64) -> DutyLease {
         DutyLease { ttl_ms, held: None, unsure: None, free_since_ms: Some(0) }
     }
 
-    /// How long it lasts without renewal.
+    /// Returns how long the lease lasts without renewal.
     pub fn ttl_ms(&self) -> u64 {
         self.ttl_ms
     }
 
-    /// The fencing token, if this instance holds the lease for certain. To be asked right before
-    /// anything is done by it.
+    /// Returns the fencing token if this instance certainly holds the lease. To be checked right
+    /// before each action under the lease.
     pub fn token(&self, now_ms: u64) -> Option<u64> {
         let margin_ms = self.ttl_ms / MARGIN_PART;
         let held = self.held.filter(|held| now_ms + margin_ms < held.until_ms)?;
         Some(held.token)
     }
 
-    /// What is to be done now, by an instance that comes after `before` others that may hold the lease.
+    /// Returns the next step of an instance that has `before` other candidates ahead of it in rank.
     pub fn next(&mut self, before: usize, nonce: u64, now_ms: u64) -> Option<Action> {
         if self.held.is_some_and(|held| held.until_ms <= now_ms) {
             self.held = None;
@@ -108,7 +111,7 @@
         (free_ms >= before as u64 * NEXT_MS).then_some(Action::Take { nonce })
     }
 
-    /// Notes who holds it, as the directory tells.
+    /// Records the holder that the directory reports.
     pub fn note_holder(&mut self, holder: Option<&Holder>, now_ms: u64) {
         match holder {
             Some(_) => self.free_since_ms = None,
@@ -118,7 +121,7 @@
         }
     }
 
-    /// Notes that the entry was written, at the revision that is now the token.
+    /// Records that the entry was written, at the revision that is now the fencing token.
     pub fn note_taken(&mut self, taken: Try, token: u64) {
         let until_ms = taken.asked_ms + self.ttl_ms;
         let renew_ms = taken.asked_ms + self.ttl_ms / RENEWALS;
@@ -127,13 +130,13 @@
         self.free_since_ms = None;
     }
 
-    /// Notes that it is not known whether the entry was written.
+    /// Records that it is unknown whether the entry was written.
     pub fn note_unsure(&mut self, unsure: Try) {
         self.unsure = Some(unsure);
     }
 
-    /// Takes in the entry as it was read. An entry of this instance's own counts only while its lease
-    /// lasts; a write that comes about later is nobody's, and ends with its lease.
+    /// Records the entry as it was read back. An entry written by this instance counts only until
+    /// its lease ends; a write that is executed later has no holder, and ends with its lease.
     pub fn note_read(&mut self, entry: Option<&Holder>, now_ms: u64) {
         let unsure = self.unsure.take();
         self.note_holder(entry, now_ms);
@@ -144,7 +147,7 @@
         }
     }
 
-    /// Notes that a renewal that was asked for at a time was granted.
+    /// Records that a renewal sent at `asked_ms` was granted.
     pub fn note_renewed(&mut self, asked_ms: u64) {
         let ttl_ms = self.ttl_ms;
         if let Some(held) = &mut self.held {
@@ -153,7 +156,8 @@
         }
     }
 
-    /// Notes that it has ended, as the directory or whoever checks tokens says.
+    /// Records that the lease has ended, as reported by the directory or by a service that checks
+    /// fencing tokens.
     pub fn note_ended(&mut self, now_ms: u64) {
         self.held = None;
         self.free_since_ms = Some(now_ms);
