--- a/src/gateway/policy/subset.rs
+++ b/src/gateway/policy/subset.rs
@@ -1,12 +1,12 @@
-//! Which upstreams an instance holds, where a service has too many for all instances to hold them all:
-//! pure steps.
+//! Selects which upstreams each instance holds, for services that have too many upstreams for every
+//! instance to hold all of them. Pure functions.
 //!
-//! A hash of the two names says whether an instance holds an upstream, so whoever knows all upstreams
-//! knows who holds which, without asking and without a table. The parts are nested: an instance that
-//! needs more halves its share one time less and keeps what it has. Published ways of subsetting
-//! (Beyer et al.: "Site Reliability Engineering", O'Reilly 2016, chapter 20) deal upstreams out in rounds,
-//! which needs numbers of all instances; a hash needs none, and moves nothing when others come or go. See
-//! [docs/design/whole-fleet.md](../../../docs/design/whole-fleet.md).
+//! A hash of the instance's and the upstream's names decides, so that whoever knows all upstreams
+//! knows who holds which, without asking and without a table. Subsets are nested: an instance that
+//! needs more halves its share one time less and keeps what it has. Published subsetting algorithms
+//! (Beyer et al.: "Site Reliability Engineering", O'Reilly 2016, chapter 20) deal out upstreams in
+//! rounds, which requires numbered instances; a hash doesn't, and moves nothing when other
+//! instances come or go. See [docs/design/whole-fleet.md](../../../docs/design/whole-fleet.md).
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -14,82 +14,88 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// Instances that hold an upstream at the least, on average: fewer might all be lost, or leave it idle.
+/// Minimum number of instances that hold an upstream, on average: with fewer, all of them might be
+/// lost, or leave it idle.
 const LEAST_HOLDERS: usize = 16;
-/// Upstreams of a large service that an instance holds at the least. With so many, its choice is as good
-/// as among all: hundreds of times the requests that one instance has at once, in all failure domains.
+/// Minimum number of upstreams of a large service that an instance holds. With so many, load
+/// balancing is as good as over all upstreams: they are hundreds of times as many as the requests
+/// that one instance has at once, and are in all failure domains.
 const LEAST_HELD: usize = 256;
-/// A service is large from so many upstreams on.
+/// Number of upstreams from which a service is large.
 const LARGE: usize = 2 * LEAST_HELD;
-/// A large one is so until it has fewer than this, so that a few that come and go change nothing.
+/// A large service stays large until it has fewer upstreams than this, so that a few that come and
+/// go change nothing.
 const STILL_LARGE: usize = LARGE - LARGE / 4;
 
-/// The part of the large services that an instance holds, as how often it is halved.
+/// The fraction of the large services' upstreams that an instance holds, as the number of times
+/// that the whole is halved.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Share(u8);
 
 impl Share {
-    /// Everything.
+    /// All upstreams.
     pub const ALL: Share = Share(0);
 
-    /// The share of a service of so many upstreams that still has enough of them, and leaves each with
-    /// enough of so many instances.
+    /// Returns the share of a service with so many upstreams that leaves the instance enough
+    /// upstreams, and each upstream enough of the instances.
     pub fn of(upstreams: usize, instances: usize) -> Share {
         let halvings = |wanted: usize| wanted.max(1).ilog2() as u8;
         Share(halvings(upstreams / LEAST_HELD).min(halvings(instances / LEAST_HOLDERS)))
     }
 
-    /// Reads a share as a number of halvings.
+    /// Creates a share from a number of halvings.
     pub fn from_halvings(halvings: u8) -> Share {
         Share(halvings.min(63))
     }
 
-    /// How often it is halved.
+    /// Returns how often the whole is halved.
     pub fn halvings(self) -> u8 {
         self.0
     }
 
-    /// Whether it is everything.
+    /// Returns whether this is the whole.
     pub fn is_all(self) -> bool {
         self == Share::ALL
     }
 
-    /// Twice as much.
+    /// Returns twice this share, and at most the whole.
     pub fn wider(self) -> Share {
         Share(self.0.saturating_sub(1))
     }
 
-    /// Half as much.
+    /// Returns half of this share.
     pub fn narrower(self) -> Share {
         Share::from_halvings(self.0 + 1)
     }
 
-    /// How many of so many instances hold an upstream, if their shares are like this one.
+    /// Returns how many of `instances` hold an upstream on average if all have this share; at least
+    /// 1.
     pub fn holders(self, instances: u32) -> u32 {
         instances.checked_shr(u32::from(self.0)).unwrap_or(0).max(1)
     }
 }
 
-/// An instance that holds upstreams.
+/// Decides which upstreams of large services an instance holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Holder {
     seed: u64,
 }
 
 impl Holder {
-    /// The instance of a name.
+    /// Returns the subset of an instance, given its id.
     pub fn new(instance: &str) -> Holder {
         Holder { seed: xxh3_64(instance.as_bytes()) }
     }
 
-    /// Whether an upstream of a large service is in a share of it.
+    /// Returns whether the instance holds an upstream of a large service with this share.
     pub fn holds(self, upstream: &str, share: Share) -> bool {
         let hash = xxh3_64_with_seed(upstream.as_bytes(), self.seed);
         share.is_all() || hash >> (64 - u32::from(share.0)) == 0
     }
 }
 
-/// The services that are too large to be held whole, given those that were.
+/// Returns the services that are too large for every instance to hold whole, given those that were
+/// before.
 pub fn large<'a>(
     services: impl Iterator<Item = &'a Arc<str>>,
     before: &BTreeSet<Arc<str>>,
@@ -102,20 +108,21 @@
     large.map(|(service, _)| Arc::clone(service)).collect()
 }
 
-/// The share that suits large services, of which an instance holds the upstreams named here by its own
-/// share, and a number of instances.
+/// Returns the share that suits the large services and a number of instances. `held` yields the
+/// service of each upstream of a large service that this instance holds by its `own` share.
 pub fn share<'a>(held: impl Iterator<Item = &'a Arc<str>>, own: Share, instances: usize) -> Share {
     let all = counts(held).into_values().map(|held| held << own.0);
     all.map(|count| Share::of(count, instances)).min().unwrap_or(Share::ALL)
 }
 
-/// The share for an instance that starts, of large services of which these are all upstreams: in a fleet
-/// that starts together nobody knows yet how many instances there are.
+/// Returns the share for an instance that starts. `all` yields the service of each upstream of the
+/// large services. Assumes many instances: in a fleet that starts together, nobody knows yet how
+/// many there are.
 pub fn first_share<'a>(all: impl Iterator<Item = &'a Arc<str>>) -> Share {
     share(all, Share::ALL, usize::MAX)
 }
 
-/// Whether so few instances are left that this share leaves upstreams without any.
+/// Returns whether so few instances are left that this share leaves upstreams without any.
 pub fn is_too_narrow(share: Share, instances: usize) -> bool {
     share.0 > 0 && instances >> share.0 < LEAST_HOLDERS / 2
 }
