--- a/src/gateway/policy/rate_limit.rs
+++ b/src/gateway/policy/rate_limit.rs
@@ -1,8 +1,9 @@
-//! The rate that an upstream in need takes from all instances together: pure types and steps.
+//! Token buckets by which all instances together keep to the rate limit of an upstream. Pure types
+//! and steps without I/O.
 //!
-//! One instance, the same in the eyes of all, owns the token bucket of an upstream that limits its
-//! rate, and the others ask it before each request. Shares that each instance kept for itself would
-//! either go unused or, with hundreds of instances, add up to a burst. See
+//! One instance, the same in the view of all, owns the token bucket of an upstream that limits its
+//! rate, and the others request a permit from it before each request. Fixed shares per instance
+//! would either go unused or, with hundreds of instances, add up to a burst. See
 //! [docs/DESIGN.md](../../../docs/DESIGN.md).
 
 use std::collections::BTreeMap;
@@ -12,23 +13,24 @@
 
 use super::super::rate::{Permit, Rate};
 
-/// The burst that a bucket holds, in seconds of its rate; at least one request.
+/// Capacity of a bucket, in seconds of its rate; at least one request.
 const BURST_S: f64 = 0.25;
-/// The least rate: only an answer tells that a limit is over, so that a request still has to pass now
-/// and then.
+/// Minimum rate: only a response shows that a limit has been lifted, so a request must still pass
+/// now and then.
 const LEAST_PER_S: f64 = 0.1;
-/// For how long the lowest rate that askers know counts: some have not heard of a lower one yet.
+/// How long the lowest rate known to requesters takes precedence: some have not received a lower
+/// rate yet.
 const LOWEST_COUNTS_MS: u64 = 1_000;
-/// The longest wait that is told: the limit may change meanwhile.
+/// Maximum wait in an answer: the limit may change meanwhile.
 const LONGEST_WAIT_MS: u64 = 2_000;
-/// How long after the last request a bucket is kept.
+/// How long a bucket is kept after the last request.
 const BUCKET_KEPT_MS: u64 = 60_000;
-/// How long an instance must have lived to grant anything: one that has just started may take itself
-/// for the only one.
+/// Minimum time since its start before an instance grants permits: one that has just started may
+/// not know of any other instance.
 const SETTLED_MS: u64 = 1_500;
 
-/// The instance that owns an upstream's bucket: the highest by rendezvous hashing, so that only the
-/// upstreams of one that comes or goes change hands.
+/// Returns the instance that owns an upstream's bucket: the highest by rendezvous hashing, so that
+/// only the buckets of an instance that comes or goes change owners.
 pub fn bucket_owner<'a>(
     upstream: &str,
     instances: impl Iterator<Item = &'a Arc<str>>,
@@ -37,13 +39,13 @@
     instances.max_by_key(|id| xxh3_64_with_seed(id.as_bytes(), seed))
 }
 
-/// The part of the instances that this one knows to live. Those that died a moment ago may live on
-/// beyond a network partition, where another owner grants as much.
+/// How many instances this one considers alive. Those that stopped responding a moment ago may
+/// still run beyond a network partition, where another owner grants permits at the same rate.
 #[derive(Debug, Clone, Copy)]
 pub struct Liveness {
-    /// Instances that live, with this one.
+    /// Instances that are alive, including this one.
     pub alive: usize,
-    /// Others that fell silent lately.
+    /// Other instances that stopped responding recently.
     pub silent: usize,
 }
 
@@ -60,7 +62,8 @@
 }
 
 impl Limiter {
-    /// Whether a request to an upstream may be sent now, of which the asker knows this rate.
+    /// Answers a request for a permit to send to an upstream, given the rate limit that the
+    /// requester knows.
     pub fn ask(
         &mut self,
         upstream: &Arc<str>,
@@ -82,16 +85,16 @@
 #[derive(Debug)]
 struct Bucket {
     rate: Rate,
-    /// When an asker last knew this rate.
+    /// When a requester last reported this rate.
     rate_ms: u64,
     tokens: f64,
     filled_ms: u64,
-    /// The time of the last turn that was told.
+    /// Time of the last turn that was assigned to a requester.
     last_turn_ms: u64,
 }
 
 impl Bucket {
-    /// A bucket starts empty: its owner before may just have granted a burst.
+    /// Creates an empty bucket: its previous owner may just have granted a burst.
     fn empty(rate: Rate, now_ms: u64) -> Bucket {
         Bucket { rate, rate_ms: now_ms, tokens: 0.0, filled_ms: now_ms, last_turn_ms: now_ms }
     }
