--- a/src/gateway/policy/named_rates.rs
+++ b/src/gateway/policy/named_rates.rs
@@ -1,34 +1,36 @@
-//! The rates that upstreams named to any instance, so that the others keep to them before they have
-//! heard of them in an answer: pure bookkeeping.
+//! The rate limits that upstreams advertised to any instance, so that the others keep to them
+//! before they receive one in a response themselves. Pure bookkeeping without I/O.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 use super::super::rate::{NamedRate, Rate};
 
-/// How long a rate counts that was named to others: whoever keeps to it asks the owner of the bucket, and
-/// learns by its next answer when it is over.
+/// How long an advertised rate is kept. An instance that keeps to it requests permits from the
+/// owner of the bucket, and learns from the upstream's next response whether the limit still
+/// applies.
 const KEPT_MS: u64 = 30_000;
-/// After which time the same rate is news again.
+/// Interval after which an unchanged rate counts as new again.
 const NEWS_MS: u64 = 10_000;
 
-/// A rate that an upstream named.
+/// A rate limit that an upstream advertised.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Named {
     /// The rate.
     pub rate: Rate,
-    /// When it was named, on this instance's clock.
+    /// When it was advertised, on this instance's clock.
     pub at_ms: u64,
 }
 
-/// The rates by upstream; cloning shares them.
+/// Advertised rate limits by upstream; clones share the data.
 #[derive(Debug, Clone, Default)]
 pub struct NamedRates {
     known: Arc<BTreeMap<Arc<str>, Named>>,
 }
 
 impl NamedRates {
-    /// Takes in a rate that an upstream named to this instance or a peer. Returns whether it is news.
+    /// Records a rate that an upstream advertised to this instance or a peer. Returns whether it is
+    /// new.
     pub fn note(&mut self, told: &NamedRate, now_ms: u64) -> bool {
         let NamedRate { upstream, rate, age_ms } = told;
         let named = Named { rate: *rate, at_ms: now_ms.saturating_sub(*age_ms) };
@@ -43,7 +45,7 @@
         is_news
     }
 
-    /// Forgets what was heard too long ago.
+    /// Removes expired rates.
     pub fn forget(&mut self, now_ms: u64) {
         let is_old = |named: &Named| named.at_ms + KEPT_MS <= now_ms;
         if self.known.values().any(is_old) {
@@ -51,12 +53,12 @@
         }
     }
 
-    /// The rate that an upstream named.
+    /// Returns the rate that an upstream advertised.
     pub fn of(&self, upstream: &str) -> Option<Named> {
         self.known.get(upstream).copied()
     }
 
-    /// All of them, to be told.
+    /// Returns all rates in the form that peers receive.
     pub fn all(&self, now_ms: u64) -> Vec<NamedRate> {
         let told = |(upstream, named): (&Arc<str>, &Named)| NamedRate {
             upstream: Arc::clone(upstream),
