--- a/src/gateway/policy/watchers.rs
+++ b/src/gateway/policy/watchers.rs
@@ -1,58 +1,64 @@
-//! Which instances ask the directory for changes, how often, and which register there: pure steps.
+//! Decides which instances watch the directory for changes, how often they poll it, and which
+//! instances register there. Pure functions.
 //!
-//! Each call to the directory is counted and paid for, so the calls of the whole fleet must not grow
-//! with its size or its failure domains. A few instances, ranked by their links and a hash of their
-//! ids, hear of changes themselves and tell the others. See [docs/DESIGN.md](../../../docs/DESIGN.md).
+//! Each call to the directory is counted and billed, so the number of calls must not grow with the
+//! size of the fleet or the number of its failure domains. A few instances, ranked by the speed of
+//! their links and a hash of their ids, watch the directory and send the changes to the others. See
+//! [docs/DESIGN.md](../../../docs/DESIGN.md).
 
 use std::cmp::Reverse;
 
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Instances that watch the directory. It may turn a third of the instances away at once; of four,
-/// all are among them once in eighty times, and the next in rank then take over.
+/// Number of instances that watch the directory. The directory may reject a third of all instances
+/// at once; it rejects all four watchers once in eighty times, and the next in rank then take over.
 const WATCHERS: usize = 4;
-/// Instances that hold all upstreams, however many there are: those that watch, and as many that take
-/// over from them without reading everything anew.
+/// Number of instances that hold all upstreams, however many there are: the watchers, and as many
+/// that can take over from them without reading everything again.
 const KEEPERS: usize = 2 * WATCHERS;
-/// Instances that are registered, for those that start when no seed answers. Their leases outlast
-/// a restart of the whole fleet, and any one that still runs introduces all others.
+/// Number of instances that are registered, for those that start while no seed responds. The leases
+/// of registrations outlast a restart of the whole fleet, and any one registered instance that
+/// still runs introduces all others.
 const REGISTERED: usize = 4;
-/// How long the first watch waits. A directory that was down may have forgotten a watch without a
-/// word, and an operator's change should be in force within two seconds of a calm directory.
+/// Timeout of the first watcher's long poll. A directory that was down may have dropped a watch
+/// without notice, and an operator's change should take effect within two seconds while the
+/// directory is healthy.
 const WATCH_MS: u64 = 2_000;
-/// How long changes gather before the first watcher asks again: an engine's crash brings a burst of
-/// them, and the bounds for taking on a change are seconds.
+/// How long the first watcher collects changes before it polls again: an engine's crash brings a
+/// burst of them, and changes may take seconds to take effect.
 const GATHER_MS: u64 = 400;
-/// How much longer each further few in rank wait before they take the directory for unread, or its
-/// readers for cut off from it.
+/// How much longer each further group of [`WATCHERS`] instances in rank waits before it concludes
+/// that nobody reads the directory, or that those who do are cut off from it.
 const NEXT_MS: u64 = 1_000;
 
-/// An instance's place in the order of the fleet, the same for all: those with faster links first, since
-/// many fetch from them, and otherwise as good as random.
+/// Rank of an instance in the fleet, which is the same in the view of all. Instances with faster
+/// links come first, since many others fetch from them; apart from that, the order is
+/// pseudo-random.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Rank(Reverse<u32>, u64);
 
-/// The rank of an instance; links count by their order of magnitude.
+/// Returns the rank of an instance; link speeds are compared by order of magnitude.
 pub fn rank(id: &str, link_mbps: u32) -> Rank {
     Rank(Reverse(link_mbps.max(1).ilog10()), ring_position(id))
 }
 
-/// An instance's place on the ring of the fleet: as good as random, and the same for all.
+/// Returns the position of an instance on the hash ring of the fleet: pseudo-random, and the same
+/// in the view of all.
 pub fn ring_position(id: &str) -> u64 {
     xxh3_64(id.as_bytes())
 }
 
-/// Where an instance stands among those that hear from the directory.
+/// Position of an instance among those that read the directory themselves.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Turn {
-    /// Others of a lower rank that do.
+    /// Number of others that read it and come first in rank.
     pub before: usize,
-    /// All others that do.
+    /// Number of all others that read it.
     pub others: usize,
 }
 
 impl Turn {
-    /// Counts the others that hear from the directory.
+    /// Counts the others that read the directory.
     pub fn of(me: Rank, others: impl Iterator<Item = Rank>) -> Turn {
         let mut turn = Turn::default();
         for other in others {
@@ -62,82 +68,90 @@
         turn
     }
 
-    /// How much longer an instance waits before it tries again, where the directory answers nobody:
-    /// the first in rank among all that live try at their usual pace and tell the others, who try
-    /// as well, since those may be turned away alone.
+    /// Returns the factor by which an instance extends its retry interval while the directory
+    /// responds to nobody. The first in rank of all live instances retry at the normal interval and
+    /// inform the others, who retry as well, since the first ones alone may be rejected.
     pub fn patience(before: usize) -> u64 {
         (before / WATCHERS) as u64 + 1
     }
 
-    /// Whether the instance should watch: few of a lower rank do, or nobody else.
+    /// Returns whether the instance should watch: few others come first in rank, or nobody else
+    /// reads the directory.
     pub fn watches(self) -> bool {
         self.before < WATCHERS || self.others == 0
     }
 
-    /// How long its watch waits. The others are told by the first in rank and notice by that when
-    /// their own watch was forgotten, so they ask less often.
+    /// Returns the timeout of the instance's long poll. Watchers after the first receive changes
+    /// from it, notice in this way that their own watch was dropped, and so poll less often.
     pub fn wait_ms(self) -> u64 {
         WATCH_MS * (self.before as u64 + 1)
     }
 
-    /// How long it lets changes gather before it asks again; likewise.
+    /// Returns how long the instance collects changes before it polls again: longer for watchers
+    /// after the first, for the same reason.
     pub fn gather_ms(self) -> u64 {
         GATHER_MS * (self.before as u64 + 1)
     }
 }
 
-/// Whether so many that hear from the directory are enough.
+/// Returns whether so many instances that read the directory are enough.
 pub fn are_enough(watching: usize) -> bool {
     watching >= WATCHERS
 }
 
-/// Whether an instance may call the directory, from which too few have heard for a time: of all that live,
-/// the first in rank, then some more each second. If all did at once, a start of the whole fleet would
-/// make as many calls as there are instances.
+/// Returns whether an instance may call the directory, which too few instances have read for
+/// `few_watch_ms`. The first in rank of all live instances may do so at once, then some more each
+/// second. If all did at once, a start of the whole fleet would make as many calls as there are
+/// instances.
 pub fn may_read(before: usize, few_watch_ms: u64) -> bool {
     (before / WATCHERS) as u64 * NEXT_MS <= few_watch_ms
 }
 
-/// Whether an instance holds all upstreams, however many there are, by its rank among all that live.
+/// Returns whether an instance holds all upstreams, however many there are, given the number of
+/// live instances ahead of it in rank.
 pub fn keeps_all(before: usize) -> bool {
     before < KEEPERS
 }
 
-/// Whether so many come before an instance that it will hardly have to hold all upstreams soon.
+/// Returns whether so many instances are ahead of this one in rank that it is unlikely to have to
+/// hold all upstreams soon.
 pub fn is_far_behind(before: usize) -> bool {
     before >= 4 * KEEPERS
 }
 
-/// The instances that hold all upstreams, of all that live with their ranks.
+/// Returns the instances that hold all upstreams, given all live ones with their ranks.
 pub fn keepers<T>(alive: impl Iterator<Item = (Rank, T)>) -> Vec<T> {
     first(KEEPERS, alive)
 }
 
-/// The instances that may have duties that one instance at a time has, of all that live with their ranks.
+/// Returns the instances that may hold the duty lease, given all live ones with their ranks.
 pub fn duty_candidates<T>(alive: impl Iterator<Item = (Rank, T)>) -> Vec<T> {
     first(WATCHERS, alive)
 }
 
-/// Whether an instance may have duties that one instance at a time has, by its rank among all that live.
+/// Returns whether an instance may hold the duty lease, given the number of live instances ahead of
+/// it in rank.
 pub fn may_hold(before: usize) -> bool {
     before < WATCHERS
 }
 
-/// The first few in rank.
+/// Returns the first few in rank.
 pub(super) fn first<T>(most: usize, ranked: impl Iterator<Item = (Rank, T)>) -> Vec<T> {
     let mut ranked: Vec<(Rank, T)> = ranked.collect();
     ranked.sort_unstable_by_key(|(rank, _)| *rank);
     ranked.into_iter().take(most).map(|(_, instance)| instance).collect()
 }
 
-/// Whether a watcher asks at once if the directory still answers, since fewer others hear from it than
-/// before: one of the last few may have lost it. More of them are instances that start, and leave the
-/// watch to others one by one; if each made all others ask, a start would cost the square of the fleet.
+/// Returns whether a watcher checks at once whether the directory still responds, since fewer
+/// others read it than before: one of the last few may have lost it. A drop among more of them
+/// comes from instances that have started and leave the watch to others one by one. If each of
+/// those made all others check, a start would make a number of calls quadratic in the size of the
+/// fleet.
 pub fn doubts(others_before: usize, others: usize) -> bool {
     others < others_before && others < WATCHERS
 }
 
-/// Whether an instance registers, among all others that live.
+/// Returns whether an instance should register, given all other live instances.
 pub fn registers(me: Rank, others: impl Iterator<Item = Rank>) -> bool {
     others.filter(|other| *other < me).count() < REGISTERED
 }
