--- a/src/gateway/rate.rs
+++ b/src/gateway/rate.rs
@@ -1,52 +1,53 @@
-//! The rate that an upstream takes, as upstreams name it and instances tell each other.
+//! Rate limits, as upstreams advertise them and instances send them to each other.
 
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
 
-/// Requests a second.
+/// A number of requests per second, stored in thousandths.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Rate {
     milli_per_s: u64,
 }
 
 impl Rate {
-    /// Reads a decimal number of requests a second; `None` for what is none, or negative.
+    /// Parses a decimal number of requests per second; returns `None` for anything that isn't a
+    /// finite number of at least zero.
     pub fn read(value: &str) -> Option<Rate> {
         let per_s = value.trim().parse::<f64>().ok()?;
         (per_s.is_finite() && per_s >= 0.0).then(|| Rate::per_s(per_s))
     }
 
-    /// So many requests a second.
+    /// Creates a rate from a number of requests per second.
     pub fn per_s(per_s: f64) -> Rate {
         Rate { milli_per_s: (per_s * 1_000.0) as u64 }
     }
 
-    /// Requests a second.
+    /// Returns the number of requests per second.
     pub fn as_per_s(self) -> f64 {
         self.milli_per_s as f64 / 1_000.0
     }
 }
 
-/// Whether a request may be sent now.
+/// Answer to an instance that wants to send a request to an upstream with a rate limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Permit {
-    /// It may.
+    /// The request may be sent now.
     Granted,
-    /// Not before this time has passed.
+    /// The instance must wait for its turn.
     Wait {
-        /// The time until the asker's turn.
+        /// Time until its turn.
         after_ms: u64,
     },
 }
 
-/// A rate as one instance tells another.
+/// An advertised rate limit, as instances send it to each other.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NamedRate {
-    /// The upstream that named it.
+    /// The upstream that advertised it.
     pub upstream: Arc<str>,
     /// The rate.
     pub rate: Rate,
-    /// How long ago that was: what is told on gets no younger.
+    /// Time since the upstream advertised it; forwarding does not reset it.
     pub age_ms: u64,
 }
