--- a/src/gateway/crash.rs
+++ b/src/gateway/crash.rs
@@ -1,4 +1,5 @@
-//! What is known of crashes under requests, as it passes from traffic to control and between instances.
+//! Crashes of upstreams under requests, as reported by request handling to the control thread and
+//! between instances.
 
 use std::sync::Arc;
 
@@ -7,31 +8,32 @@
 use super::fingerprint::Fingerprint;
 use super::fleet::Upstream;
 
-/// How far a request had come when its upstream ended.
+/// How far a request had progressed when its upstream ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Stage {
-    /// It waited, or its prompt was read.
+    /// It was queued, or its prompt was being processed.
     Waiting,
-    /// Its run had begun a moment before.
+    /// Its run had started a moment before.
     Begun,
 }
 
-/// An upstream's process that ended under a request.
+/// The end of an upstream's process under a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Crash {
     /// The request.
     pub fingerprint: Fingerprint,
     /// The upstream.
     pub upstream: Upstream,
-    /// How far the request had come.
+    /// How far the request had progressed.
     pub stage: Stage,
-    /// The last event that its caller had.
+    /// Last event delivered to the caller.
     pub event: u64,
     /// When the connection ended.
     pub at_ms: u64,
 }
 
-/// An upstream that ended under a run that had just begun, as instances tell it before it is judged.
+/// The end of an upstream under a run that had just started, as instances report it to each other
+/// before it is judged.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct EndedUnder {
     /// The upstream.
@@ -40,19 +42,19 @@
     pub fingerprint: Fingerprint,
 }
 
-/// A record as instances tell it to each other, with times as they are at the sender.
+/// The crash record of a request, as instances send it to each other. Times are as of sending.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashRecord {
     /// The request.
     pub fingerprint: Fingerprint,
-    /// Grows each time the request is cleared; what was told of an earlier one is void.
+    /// Incremented each time the request is cleared; reports from a lower epoch are obsolete.
     pub epoch: u64,
-    /// The upstreams that ended under it.
+    /// The upstreams that ended under it, with its stage at each.
     pub crashes: Vec<(Arc<str>, Stage)>,
-    /// The last event before any of them.
+    /// Highest event delivered to the caller before any of the crashes.
     pub event: u64,
-    /// For how long it is still quarantined.
+    /// Remaining time of the quarantine; `None` if the request isn't quarantined.
     pub left_ms: Option<u64>,
-    /// How long ago it last changed.
+    /// Time since the record last changed.
     pub age_ms: u64,
 }
