--- a/src/gateway/fingerprint.rs
+++ b/src/gateway/fingerprint.rs
@@ -1,4 +1,5 @@
-//! What a request is, whatever its id, its headers and the instance that it comes to.
+//! Identifies a request by what it asks, whatever its id, its headers and the instance that
+//! receives it.
 
 use std::sync::Arc;
 
@@ -7,10 +8,11 @@
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-/// A hash of what a request asks and of who asks it: a request that is sent again has the same one.
+/// A hash of what a request asks and of who sends it; a request that is sent again has the same
+/// fingerprint.
 ///
-/// It is cut from a cryptographic hash, since what is known of a fingerprint decides whether its
-/// requests are served: nobody must be able to make a request that looks like another one's.
+/// It is a truncated cryptographic hash, since the crash record of a fingerprint decides whether its
+/// requests are served: nobody must be able to craft a request with the fingerprint of another one.
 #[derive(
     Debug,
     Clone,
@@ -28,8 +30,9 @@
 pub struct Fingerprint(u64);
 
 impl Fingerprint {
-    /// Of a request to the host of a route. The service isn't part of it: a request that crashes one
-    /// service's upstreams is no better known after an operator has moved its route.
+    /// Returns the fingerprint of a request to the host of a route. The service isn't part of it:
+    /// after an operator has moved a route to another service, a request that crashed the upstreams
+    /// of the first must still be recognised.
     pub fn of(
         method: &Method,
         host: &str,
@@ -47,7 +50,8 @@
         ];
         let mut hash = Sha256::new();
         for part in parts {
-            // Without its length, the end of one part could pass for the beginning of the next.
+            // Without the length, bytes could move from the end of one part to the beginning of the
+            // next.
             hash.update((part.len() as u64).to_be_bytes());
             hash.update(part);
         }
@@ -56,7 +60,7 @@
         Fingerprint(u64::from_be_bytes(first))
     }
 
-    /// Reads the form in which it is logged.
+    /// Parses the form in which fingerprints are logged.
     pub fn read(text: &str) -> Option<Fingerprint> {
         u64::from_str_radix(text, 16).ok().map(Fingerprint)
     }
