--- a/src/gateway/duties.rs
+++ b/src/gateway/duties.rs
@@ -1,4 +1,5 @@
-//! Calls that only one instance at a time may make: its lease, and what the platform is told under it.
+//! Calls of duties, which only one instance at a time may perform: those that manage its lease, and
+//! those that it makes to the platform under the lease.
 
 use std::sync::Arc;
 
@@ -10,14 +11,14 @@
 use super::policy::scaling::Order;
 use super::policy::usage::{Counts, Schedule};
 
-/// The terms of the duties.
+/// Settings of the duties.
 #[derive(Debug, Clone, Copy)]
 pub struct Terms {
     /// How long the lease lasts without renewal.
     pub lease_ms: u64,
-    /// Which windows of usage are reported, if any are.
+    /// Which windows of usage are reported; `None` if usage isn't reported.
     pub usage: Option<Schedule>,
-    /// Whether workers are ordered.
+    /// Whether workers are ordered from the platform.
     pub orders_workers: bool,
 }
 
@@ -26,33 +27,33 @@
     pub const NONE: Terms = Terms { lease_ms: 0, usage: None, orders_workers: false };
 }
 
-/// What became of a write that is made only if nothing is there.
+/// Outcome of a write that is made only if there is no entry.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Written<T> {
-    /// It was made, at this revision.
+    /// The entry was written, at this revision.
     Now(u64),
-    /// Something was there.
+    /// There was an entry already.
     Before(T),
 }
 
-/// A report of usage, as it is sent and stored: the same bytes each time.
+/// An encoded report of usage: the same bytes each time it is sent or stored.
 pub type Report = Bytes;
 
-/// Who makes a call of a duty, and by which right.
+/// Credentials for a call under the lease.
 #[derive(Debug, Clone)]
 pub struct Fence {
-    /// The instance.
+    /// The instance that holds the lease.
     pub holder: Arc<str>,
     /// Its fencing token.
     pub token: u64,
 }
 
-/// The calls of duties. A call without an answer may have been carried out, or be so later.
+/// The calls of duties. A call without a response may have been executed, or may be executed later.
 pub trait DutyCalls {
-    /// The terms.
+    /// Returns the settings of the duties.
     fn terms(&self) -> Terms;
 
-    /// Makes a lease in the directory that lasts so long; returns its name there.
+    /// Creates a lease in the directory that lasts so long without renewal; returns its id.
     fn grant(&self, ttl_ms: u64) -> LocalBoxFuture<'_, Result<u64, Fault>>;
 
     /// Writes the holder's entry under a lease, if there is none.
@@ -66,20 +67,21 @@
     /// Reads the holder's entry.
     fn holder(&self) -> LocalBoxFuture<'_, Result<Option<Holder>, Fault>>;
 
-    /// A report of a window, as it is sent.
+    /// Encodes the report of a window.
     fn report(&self, window: u64, counts: &Counts) -> Report;
 
-    /// Stores a report, if none of its window is stored.
+    /// Stores a report, if none is stored for its window.
     fn store_report(
         &self,
         window: u64,
         report: Report,
     ) -> LocalBoxFuture<'_, Result<Written<Report>, Fault>>;
 
-    /// Sends a report.
+    /// Sends a report to the platform.
     fn send_report(&self, fence: Fence, report: Report) -> LocalBoxFuture<'_, Result<(), Fault>>;
 
-    /// Orders workers. Where none can be had, the answer is the same as to a token that is too low.
+    /// Orders workers from the platform. A lack of capacity has the same response as a fencing
+    /// token that is too low.
     fn order<'a>(&'a self, fence: Fence, order: &'a Order)
     -> LocalBoxFuture<'a, Result<(), Fault>>;
 }
