--- a/src/gateway/fingerprint.rs
+++ b/src/gateway/fingerprint.rs
@@ -61,7 +61,7 @@
     }
 
     /// Parses the form in which fingerprints are logged.
-    pub fn read(text: &str) -> Option<Fingerprint> {
+    pub fn parse(text: &str) -> Option<Fingerprint> {
         u64::from_str_radix(text, 16).ok().map(Fingerprint)
     }
 }
--- a/src/gateway/operator.rs
+++ b/src/gateway/operator.rs
@@ -62,7 +62,7 @@
 
 /// Lifts a quarantine here; all instances hear of it.
 fn lift(fingerprint: &str, shared: &Shared) -> Answer {
-    let Some(fingerprint) = Fingerprint::read(fingerprint) else {
+    let Some(fingerprint) = Fingerprint::parse(fingerprint) else {
         let error = "this is no fingerprint; send one as GET /quarantine names it\n";
         return text(400, "text/plain", error.to_owned());
     };
--- a/tests/gateway/suspicion.rs
+++ b/tests/gateway/suspicion.rs
@@ -292,8 +292,8 @@
 #[test]
 fn a_fingerprint_is_read_as_it_is_written() {
     let fingerprint = request("any");
-    assert_eq!(Fingerprint::read(&fingerprint.to_string()), Some(fingerprint));
-    assert_eq!(Fingerprint::read("no fingerprint"), None);
+    assert_eq!(Fingerprint::parse(&fingerprint.to_string()), Some(fingerprint));
+    assert_eq!(Fingerprint::parse("no fingerprint"), None);
 }
 
 /// Who asks and where each part ends are a part of what a request is.
