--- a/src/gateway/control.rs
+++ b/src/gateway/control.rs
@@ -40,7 +40,7 @@
 use super::policy::departures::Departures;
 use super::policy::found::Found;
 use super::policy::lease::{DutyLease, Holder};
-use super::policy::named_rates::NamedRates;
+use super::policy::named_rates::AdvertisedRates;
 use super::policy::quarantine::Quarantine;
 use super::policy::rate_limit::Limiter;
 use super::policy::subset::Share;
@@ -74,7 +74,7 @@
     /// The token buckets that this instance owns, for all.
     limiter: Limiter,
     /// The rates that upstreams named to any instance.
-    named_rates: NamedRates,
+    named_rates: AdvertisedRates,
     /// Upstreams that said to any instance that they leave.
     departures: Departures,
     /// Requests of this instance for permits that others have not answered yet.
@@ -214,7 +214,7 @@
             quarantine: Quarantine::default(),
             quarantine_version: 0,
             limiter: Limiter::default(),
-            named_rates: NamedRates::default(),
+            named_rates: AdvertisedRates::default(),
             departures: Departures::default(),
             permits: BTreeMap::new(),
             permit_number: 0,
--- a/src/gateway/control/permits.rs
+++ b/src/gateway/control/permits.rs
@@ -49,7 +49,8 @@
         let now_ms = self.clock.now_ms();
         let alive = board.membership.alive().count() + 1;
         let silent = board.membership.silent_since(now_ms.saturating_sub(SILENT_COUNTS_MS));
-        let permit = board.limiter.ask(upstream, rate, Liveness { alive, silent }, now_ms);
+        let permit =
+            board.limiter.request_permit(upstream, rate, Liveness { alive, silent }, now_ms);
         self.metrics.count(match permit {
             Permit::Granted => "permits_granted",
             Permit::Wait { .. } => "permits_refused",
--- a/src/gateway/control/signals.rs
+++ b/src/gateway/control/signals.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use super::super::membership::{Message, SignalNews};
-use super::super::rate::NamedRate;
+use super::super::rate::AdvertisedRate;
 use super::super::view::Signal;
 use super::{Board, Control};
 
@@ -16,7 +16,7 @@
             for signal in self.shared.take_signals() {
                 match signal {
                     Signal::Rate(upstream, rate) => self.take_news(SignalNews {
-                        rates: vec![NamedRate { upstream, rate, age_ms: 0 }],
+                        rates: vec![AdvertisedRate { upstream, rate, age_ms: 0 }],
                         ..SignalNews::default()
                     }),
                     Signal::Departure(departure) => self.take_news(SignalNews {
--- a/src/gateway/membership/message.rs
+++ b/src/gateway/membership/message.rs
@@ -9,7 +9,7 @@
 use super::super::loads::{Changes, Digest, LoadNews};
 use super::super::policy::subset::Share;
 use super::super::policy::usage::UsageNews;
-use super::super::rate::{NamedRate, Permit, Rate};
+use super::super::rate::{AdvertisedRate, Permit, Rate};
 use super::card::{Card, Versions};
 use super::rumors::Rumor;
 use super::sums::Sums;
@@ -58,7 +58,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SignalNews {
     /// The rates that they take.
-    pub rates: Vec<NamedRate>,
+    pub rates: Vec<AdvertisedRate>,
     /// Those that leave.
     pub departures: Vec<Departure>,
     /// Whether its receiver passes on to its failure domain what is news to it.
--- a/src/gateway/policy/named_rates.rs
+++ b/src/gateway/policy/named_rates.rs
@@ -4,18 +4,18 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use super::super::rate::{NamedRate, Rate};
+use super::super::rate::{AdvertisedRate, Rate};
 
 /// How long an advertised rate is kept. An instance that keeps to it requests permits from the
 /// owner of the bucket, and learns from the upstream's next response whether the limit still
 /// applies.
-const KEPT_MS: u64 = 30_000;
+const RETENTION_MS: u64 = 30_000;
 /// Interval after which an unchanged rate counts as new again.
-const NEWS_MS: u64 = 10_000;
+const REPEAT_AFTER_MS: u64 = 10_000;
 
 /// A rate limit that an upstream advertised.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Named {
+pub struct Advertised {
     /// The rate.
     pub rate: Rate,
     /// When it was advertised, on this instance's clock.
@@ -24,47 +24,49 @@
 
 /// Advertised rate limits by upstream; clones share the data.
 #[derive(Debug, Clone, Default)]
-pub struct NamedRates {
-    known: Arc<BTreeMap<Arc<str>, Named>>,
+pub struct AdvertisedRates {
+    known: Arc<BTreeMap<Arc<str>, Advertised>>,
 }
 
-impl NamedRates {
+impl AdvertisedRates {
     /// Records a rate that an upstream advertised to this instance or a peer. Returns whether it is
     /// new.
-    pub fn note(&mut self, told: &NamedRate, now_ms: u64) -> bool {
-        let NamedRate { upstream, rate, age_ms } = told;
-        let named = Named { rate: *rate, at_ms: now_ms.saturating_sub(*age_ms) };
-        let is_news = match self.known.get(upstream) {
-            Some(before) if before.rate == named.rate => before.at_ms + NEWS_MS <= named.at_ms,
-            Some(before) => before.at_ms < named.at_ms,
-            None => *age_ms < KEPT_MS,
+    pub fn note(&mut self, received: &AdvertisedRate, now_ms: u64) -> bool {
+        let AdvertisedRate { upstream, rate, age_ms } = received;
+        let advertised = Advertised { rate: *rate, at_ms: now_ms.saturating_sub(*age_ms) };
+        let is_new = match self.known.get(upstream) {
+            Some(before) if before.rate == advertised.rate => {
+                before.at_ms + REPEAT_AFTER_MS <= advertised.at_ms
+            }
+            Some(before) => before.at_ms < advertised.at_ms,
+            None => *age_ms < RETENTION_MS,
         };
-        if is_news {
-            Arc::make_mut(&mut self.known).insert(Arc::clone(upstream), named);
+        if is_new {
+            Arc::make_mut(&mut self.known).insert(Arc::clone(upstream), advertised);
         }
-        is_news
+        is_new
     }
 
     /// Removes expired rates.
     pub fn forget(&mut self, now_ms: u64) {
-        let is_old = |named: &Named| named.at_ms + KEPT_MS <= now_ms;
+        let is_old = |advertised: &Advertised| advertised.at_ms + RETENTION_MS <= now_ms;
         if self.known.values().any(is_old) {
-            Arc::make_mut(&mut self.known).retain(|_, named| !is_old(named));
+            Arc::make_mut(&mut self.known).retain(|_, advertised| !is_old(advertised));
         }
     }
 
     /// Returns the rate that an upstream advertised.
-    pub fn of(&self, upstream: &str) -> Option<Named> {
+    pub fn of(&self, upstream: &str) -> Option<Advertised> {
         self.known.get(upstream).copied()
     }
 
     /// Returns all rates in the form that peers receive.
-    pub fn all(&self, now_ms: u64) -> Vec<NamedRate> {
-        let told = |(upstream, named): (&Arc<str>, &Named)| NamedRate {
+    pub fn all(&self, now_ms: u64) -> Vec<AdvertisedRate> {
+        let message = |(upstream, advertised): (&Arc<str>, &Advertised)| AdvertisedRate {
             upstream: Arc::clone(upstream),
-            rate: named.rate,
-            age_ms: now_ms.saturating_sub(named.at_ms),
+            rate: advertised.rate,
+            age_ms: now_ms.saturating_sub(advertised.at_ms),
         };
-        self.known.iter().map(told).collect()
+        self.known.iter().map(message).collect()
     }
 }
--- a/src/gateway/policy/rate_limit.rs
+++ b/src/gateway/policy/rate_limit.rs
@@ -17,17 +17,17 @@
 const BURST_S: f64 = 0.25;
 /// Minimum rate: only a response shows that a limit has been lifted, so a request must still pass
 /// now and then.
-const LEAST_PER_S: f64 = 0.1;
+const MIN_RATE_PER_S: f64 = 0.1;
 /// How long the lowest rate known to requesters takes precedence: some have not received a lower
 /// rate yet.
-const LOWEST_COUNTS_MS: u64 = 1_000;
+const LOWEST_RATE_KEPT_MS: u64 = 1_000;
 /// Maximum wait in an answer: the limit may change meanwhile.
-const LONGEST_WAIT_MS: u64 = 2_000;
+const MAX_WAIT_MS: u64 = 2_000;
 /// How long a bucket is kept after the last request.
-const BUCKET_KEPT_MS: u64 = 60_000;
+const IDLE_BUCKET_KEPT_MS: u64 = 60_000;
 /// Minimum time since its start before an instance grants permits: one that has just started may
 /// not know of any other instance.
-const SETTLED_MS: u64 = 1_500;
+const MIN_UPTIME_MS: u64 = 1_500;
 
 /// Returns the instance that owns an upstream's bucket: the highest by rendezvous hashing, so that
 /// only the buckets of an instance that comes or goes change owners.
@@ -50,7 +50,7 @@
 }
 
 impl Liveness {
-    fn part(self) -> f64 {
+    fn alive_fraction(self) -> f64 {
         self.alive as f64 / (self.alive + self.silent).max(1) as f64
     }
 }
@@ -64,21 +64,21 @@
 impl Limiter {
     /// Answers a request for a permit to send to an upstream, given the rate limit that the
     /// requester knows.
-    pub fn ask(
+    pub fn request_permit(
         &mut self,
         upstream: &Arc<str>,
         rate: Rate,
         liveness: Liveness,
         now_ms: u64,
     ) -> Permit {
-        if now_ms < SETTLED_MS {
-            return Permit::Wait { after_ms: SETTLED_MS - now_ms };
+        if now_ms < MIN_UPTIME_MS {
+            return Permit::Wait { after_ms: MIN_UPTIME_MS - now_ms };
         }
-        self.buckets.retain(|_, bucket| bucket.filled_ms + BUCKET_KEPT_MS > now_ms);
+        self.buckets.retain(|_, bucket| bucket.refilled_ms + IDLE_BUCKET_KEPT_MS > now_ms);
         let bucket = self.buckets.entry(Arc::clone(upstream));
         let bucket = bucket.or_insert_with(|| Bucket::empty(rate, now_ms));
         bucket.note_rate(rate, now_ms);
-        bucket.take(liveness.part(), now_ms)
+        bucket.take(liveness.alive_fraction(), now_ms)
     }
 }
 
@@ -86,9 +86,9 @@
 struct Bucket {
     rate: Rate,
     /// When a requester last reported this rate.
-    rate_ms: u64,
+    rate_reported_ms: u64,
     tokens: f64,
-    filled_ms: u64,
+    refilled_ms: u64,
     /// Time of the last turn that was assigned to a requester.
     last_turn_ms: u64,
 }
@@ -96,30 +96,36 @@
 impl Bucket {
     /// Creates an empty bucket: its previous owner may just have granted a burst.
     fn empty(rate: Rate, now_ms: u64) -> Bucket {
-        Bucket { rate, rate_ms: now_ms, tokens: 0.0, filled_ms: now_ms, last_turn_ms: now_ms }
+        Bucket {
+            rate,
+            rate_reported_ms: now_ms,
+            tokens: 0.0,
+            refilled_ms: now_ms,
+            last_turn_ms: now_ms,
+        }
     }
 
     fn note_rate(&mut self, rate: Rate, now_ms: u64) {
-        if rate <= self.rate || self.rate_ms + LOWEST_COUNTS_MS <= now_ms {
+        if rate <= self.rate || self.rate_reported_ms + LOWEST_RATE_KEPT_MS <= now_ms {
             self.rate = rate;
-            self.rate_ms = now_ms;
+            self.rate_reported_ms = now_ms;
         }
     }
 
-    fn take(&mut self, part: f64, now_ms: u64) -> Permit {
-        let per_s = (self.rate.as_per_s() * part).max(LEAST_PER_S);
+    fn take(&mut self, alive_fraction: f64, now_ms: u64) -> Permit {
+        let per_s = (self.rate.as_per_s() * alive_fraction).max(MIN_RATE_PER_S);
         let per_ms = per_s / 1_000.0;
-        let most = (per_s * BURST_S).max(1.0);
-        let since_ms = now_ms.saturating_sub(self.filled_ms);
-        self.tokens = (self.tokens + per_ms * since_ms as f64).min(most);
-        self.filled_ms = now_ms;
+        let capacity = (per_s * BURST_S).max(1.0);
+        let since_ms = now_ms.saturating_sub(self.refilled_ms);
+        self.tokens = (self.tokens + per_ms * since_ms as f64).min(capacity);
+        self.refilled_ms = now_ms;
         if self.tokens >= 1.0 {
             self.tokens -= 1.0;
             return Permit::Granted;
         }
         let next_ms = now_ms + ((1.0 - self.tokens) / per_ms) as u64;
         let turn_ms = next_ms.max(self.last_turn_ms + (1.0 / per_ms) as u64);
-        self.last_turn_ms = turn_ms.min(now_ms + LONGEST_WAIT_MS);
+        self.last_turn_ms = turn_ms.min(now_ms + MAX_WAIT_MS);
         Permit::Wait { after_ms: (self.last_turn_ms - now_ms).max(1) }
     }
 }
--- a/src/gateway/rate.rs
+++ b/src/gateway/rate.rs
@@ -13,7 +13,7 @@
 impl Rate {
     /// Parses a decimal number of requests per second; returns `None` for anything that isn't a
     /// finite number of at least zero.
-    pub fn read(value: &str) -> Option<Rate> {
+    pub fn parse(value: &str) -> Option<Rate> {
         let per_s = value.trim().parse::<f64>().ok()?;
         (per_s.is_finite() && per_s >= 0.0).then(|| Rate::per_s(per_s))
     }
@@ -43,7 +43,7 @@
 
 /// An advertised rate limit, as instances send it to each other.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct NamedRate {
+pub struct AdvertisedRate {
     /// The upstream that advertised it.
     pub upstream: Arc<str>,
     /// The rate.
--- a/src/gateway/view.rs
+++ b/src/gateway/view.rs
@@ -14,7 +14,7 @@
 use super::loads::{Held, Own, Places, Sent};
 use super::membership::Phase;
 use super::policy::departures::Departures;
-use super::policy::named_rates::NamedRates;
+use super::policy::named_rates::AdvertisedRates;
 use super::policy::quarantine::Suspects;
 use super::policy::subset::Share;
 use super::rate::{Permit, Rate};
@@ -50,7 +50,7 @@
     /// Requests that crashed upstreams, and whether they are quarantined.
     pub quarantine: Arc<Suspects>,
     /// The rates that upstreams named to any instance.
-    pub named_rates: NamedRates,
+    pub named_rates: AdvertisedRates,
     /// Upstreams that said to any instance that they leave.
     pub departures: Departures,
 }
@@ -174,7 +174,7 @@
             sent: Arc::default(),
             places: Places::default(),
             quarantine: Arc::default(),
-            named_rates: NamedRates::default(),
+            named_rates: AdvertisedRates::default(),
             departures: Departures::default(),
         };
         let view = ArcSwap::from_pointee(view);
--- a/tests/gateway/permits.rs
+++ b/tests/gateway/permits.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-use siskinrock::gateway::policy::named_rates::NamedRates;
+use siskinrock::gateway::policy::named_rates::AdvertisedRates;
 use siskinrock::gateway::policy::rate_limit::{self, Limiter, Liveness};
-use siskinrock::gateway::rate::{NamedRate, Permit, Rate};
+use siskinrock::gateway::rate::{AdvertisedRate, Permit, Rate};
 use yare::parameterized;
 
 /// Any span of this length counts.
@@ -120,7 +120,7 @@
                 Liveness { alive: seen.len(), silent: self.silent(owner, &seen, now_ms) };
             let lives_ms = now_ms - self.instances[owner].started_ms;
             let limiter = &mut self.instances[owner].limiter;
-            limiter.ask(&Arc::from(UPSTREAM), rate, liveness, lives_ms)
+            limiter.request_permit(&Arc::from(UPSTREAM), rate, liveness, lives_ms)
         } else {
             Permit::Wait { after_ms: 250 }
         };
@@ -198,7 +198,7 @@
 fn who_has_just_started_grants_nothing() {
     let mut limiter = Limiter::default();
     let alone = Liveness { alive: 1, silent: 0 };
-    let asked = limiter.ask(&Arc::from(UPSTREAM), Rate::per_s(1_000.0), alone, 100);
+    let asked = limiter.request_permit(&Arc::from(UPSTREAM), Rate::per_s(1_000.0), alone, 100);
     assert_eq!(asked, Permit::Wait { after_ms: 1_400 });
 }
 
@@ -221,7 +221,7 @@
     empty = { "", None },
 )]
 fn a_rate_is_read_or_none(value: &str, per_s: Option<f64>) {
-    assert_eq!(Rate::read(value), per_s.map(Rate::per_s));
+    assert_eq!(Rate::parse(value), per_s.map(Rate::per_s));
 }
 
 /// Of nine instances, one that goes gives up only the upstreams whose buckets it kept.
@@ -235,14 +235,15 @@
     }
 }
 
-fn told(per_s: f64, age_ms: u64) -> NamedRate {
-    NamedRate { upstream: Arc::from(UPSTREAM), rate: Rate::per_s(per_s), age_ms }
+fn told(per_s: f64, age_ms: u64) -> AdvertisedRate {
+    AdvertisedRate { upstream: Arc::from(UPSTREAM), rate: Rate::per_s(per_s), age_ms }
 }
 
 /// Instances that tell each other all that they know don't keep a rate alive that nobody names any more.
 #[test]
 fn a_rate_that_is_passed_on_gets_no_younger() {
-    let mut instances = [NamedRates::default(), NamedRates::default(), NamedRates::default()];
+    let mut instances =
+        [AdvertisedRates::default(), AdvertisedRates::default(), AdvertisedRates::default()];
     assert!(instances[0].note(&told(6.0, 0), 1_000));
     assert!(!instances[0].note(&told(6.0, 0), 2_000), "it is news once in ten seconds");
     for now_ms in (1_000..60_000).step_by(100) {
@@ -262,7 +263,7 @@
 /// Of two rates, the one that was named last counts, whichever is heard last.
 #[test]
 fn the_rate_that_was_named_last_counts() {
-    let mut rates = NamedRates::default();
+    let mut rates = AdvertisedRates::default();
     assert!(rates.note(&told(6.0, 100), 1_000));
     assert!(!rates.note(&told(9.0, 500), 1_010));
     assert!(rates.note(&told(3.0, 0), 1_020));
