--- a/src/gateway/membership/message.rs
+++ b/src/gateway/membership/message.rs
@@ -9,7 +9,7 @@
 use super::super::loads::{Changes, Digest, LoadUpdate};
 use super::super::policy::subset::Share;
 use super::super::policy::usage::UsageNews;
-use super::super::rate::{NamedRate, Permit, Rate};
+use super::super::rate::{AdvertisedRate, Permit, Rate};
 use super::descriptor::{InstanceDescriptor, Versions};
 use super::rumors::Rumor;
 use super::sums::BucketChecksums;
@@ -51,18 +51,18 @@
     AskPermit(PermitQuery),
     /// Answers [`Message::AskPermit`], with the number of the query.
     Permit(u64, Permit),
-    /// Rate limits and departures that upstreams announced in their responses.
+    /// Rate limits and departures that upstreams advertised in their responses.
     Signals(SignalUpdate),
     /// What the sender counted for the usage report.
     Usage(UsageNews),
 }
 
-/// Rate limits and departures that upstreams announced to instances in their responses.
+/// Rate limits and departures that upstreams advertised to instances in their responses.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SignalUpdate {
-    /// The rate limits that upstreams announced.
-    pub rates: Vec<NamedRate>,
-    /// Upstreams that announced that they are leaving.
+    /// The rate limits that upstreams advertised.
+    pub rates: Vec<AdvertisedRate>,
+    /// Upstreams that advertised that they are leaving.
     pub departures: Vec<Departure>,
     /// Whether the receiver forwards the entries that are new to it within its failure domain.
     pub must_forward: bool,
