--- a/src/gateway/control.rs
+++ b/src/gateway/control.rs
@@ -496,7 +496,7 @@
         let first_hand =
             board.membership.alive().filter(|member| member.card.is_first_hand).count();
         let before = std::mem::replace(&mut board.first_hand, first_hand);
-        if watchers::doubts(before, first_hand) && Control::is_first_hand(board) {
+        if watchers::should_check_directory(before, first_hand) && Control::is_first_hand(board) {
             self.doubted_directory.notify_one();
         }
     }
--- a/src/gateway/control/changes.rs
+++ b/src/gateway/control/changes.rs
@@ -94,7 +94,7 @@
 
     /// What changed since a revision, for each instance that holds a part of it.
     fn parts_since(&self, board: &Board, since: u64) -> Vec<(SocketAddr, Changes)> {
-        let is_pusher = Control::is_first_hand(board) && self.turn_of(board).before < PUSHERS;
+        let is_pusher = Control::is_first_hand(board) && self.turn_of(board).ahead < PUSHERS;
         if !is_pusher || board.part.large.is_empty() {
             return Vec::new();
         }
--- a/src/gateway/control/directory.rs
+++ b/src/gateway/control/directory.rs
@@ -11,7 +11,7 @@
 use super::super::metrics::Time;
 use super::super::policy::lease::Holder;
 use super::super::policy::subset::Share;
-use super::super::policy::watchers::{self, Turn};
+use super::super::policy::watchers::{self, WatchPosition};
 use super::{Board, Control};
 
 /// The wait after a call that failed; doubled up to the longest.
@@ -95,7 +95,7 @@
         let mut is_check = true;
         loop {
             let turn = self.turn();
-            if !turn.watches() {
+            if !turn.is_watcher() {
                 self.board.borrow_mut().is_watching = false;
                 slog::info!(self.log, "directory left to others"; "revision" => revision);
                 return true;
@@ -122,7 +122,7 @@
                     let has_any = !changes.records.is_empty() || !changes.removed.is_empty();
                     self.take_changes(changes);
                     if has_any {
-                        tokio::time::sleep(Duration::from_millis(turn.gather_ms())).await;
+                        tokio::time::sleep(Duration::from_millis(turn.batch_delay_ms())).await;
                     }
                 }
                 Err(fault @ Fault::HistoryGone) => {
@@ -140,18 +140,18 @@
     }
 
     /// Where this instance stands among those that hear from the directory.
-    fn turn(&self) -> Turn {
+    fn turn(&self) -> WatchPosition {
         self.turn_of(&self.board.borrow())
     }
 
-    pub(super) fn turn_of(&self, board: &Board) -> Turn {
+    pub(super) fn turn_of(&self, board: &Board) -> WatchPosition {
         let first_hand = board.membership.alive().filter(|member| member.card.is_first_hand);
-        Turn::of(board.membership.my_rank(), first_hand.map(|member| member.card.rank()))
+        WatchPosition::of(board.membership.my_rank(), first_hand.map(|member| member.card.rank()))
     }
 
     /// How many times longer than the first in rank it waits for a directory that answers nobody.
     fn patience(&self) -> u64 {
-        Turn::patience(self.board.borrow().membership.before_me())
+        WatchPosition::backoff_factor(self.board.borrow().membership.before_me())
     }
 
     fn should_watch(&self) -> bool {
@@ -166,14 +166,15 @@
             // Those that others know of are told soon, and know too few yet to tell their rank.
             let is_alone = board.membership.alive().next().is_none();
             let since_ms = if is_alone { START_MS } else { SETTLE_MS };
-            return now_ms >= since_ms && watchers::may_read(before_me, now_ms - since_ms);
+            return now_ms >= since_ms
+                && watchers::may_call_directory(before_me, now_ms - since_ms);
         }
         let is_settling = turn.others == 0 && now_ms < SETTLE_MS;
-        if is_settling || !turn.watches() {
+        if is_settling || !turn.is_watcher() {
             return false;
         }
         let short_ms = board.few_watch_since_ms.map_or(0, |since_ms| now_ms - since_ms);
-        watchers::may_read(before_me, short_ms)
+        watchers::may_call_directory(before_me, short_ms)
     }
 
     /// Whether there are others whom it asks when it starts; the seeds themselves ask nobody.
@@ -399,7 +400,7 @@
         let board = self.board.borrow();
         let others = board.membership.alive().map(|member| member.card.rank());
         let knows_others = now_ms >= REGISTER_LOOK_MS || !self.has_seeds();
-        knows_others && watchers::registers(board.membership.my_rank(), others)
+        knows_others && watchers::should_register(board.membership.my_rank(), others)
     }
 
     fn is_stopping(&self) -> bool {
--- a/src/gateway/control/duties.rs
+++ b/src/gateway/control/duties.rs
@@ -124,7 +124,8 @@
         let action = {
             let mut board = self.board.borrow_mut();
             let before_me = board.membership.before_me();
-            let is_candidate = board.phase == Phase::Ready && watchers::may_hold(before_me);
+            let is_candidate =
+                board.phase == Phase::Ready && watchers::is_duty_candidate(before_me);
             let has_it = board.duty_lease.token(now_ms).is_some();
             if !is_candidate && !has_it {
                 return Ok(());
--- a/src/gateway/control/exchange.rs
+++ b/src/gateway/control/exchange.rs
@@ -93,7 +93,7 @@
         let is_heard = Control::is_directory_heard(&board);
         let first_hand = board.membership.alive().filter(|member| member.card.is_first_hand);
         let watching = first_hand.count() + usize::from(Control::is_first_hand(&board));
-        if watchers::are_enough(watching) {
+        if watchers::has_enough_watchers(watching) {
             board.few_watch_since_ms = None;
         } else {
             board.few_watch_since_ms.get_or_insert(now_ms);
--- a/src/gateway/control/shares.rs
+++ b/src/gateway/control/shares.rs
@@ -70,7 +70,7 @@
         let before_me = board.membership.before_me();
         let instances = board.membership.alive().count() + 1;
         let share = board.part.share;
-        if watchers::keeps_all(before_me) {
+        if watchers::holds_all(before_me) {
             board.narrows_since_ms = None;
             if !share.is_all() && now_ms >= MEMBERS_KNOWN_MS {
                 board.wanted_share = Some(Share::ALL);
@@ -82,7 +82,8 @@
             return;
         }
         let since_ms = *board.narrows_since_ms.get_or_insert(now_ms);
-        let is_settled = watchers::is_far_behind(before_me) || now_ms >= since_ms + NARROW_AFTER_MS;
+        let is_settled =
+            watchers::is_far_from_holding_all(before_me) || now_ms >= since_ms + NARROW_AFTER_MS;
         let suitable = Control::suitable_share(&board);
         let is_wide = suitable > share && (share.is_all() || suitable > share.narrower());
         if is_wide && is_settled && !board.is_watching && now_ms >= board.wide_until_ms {
--- a/src/gateway/membership/members.rs
+++ b/src/gateway/membership/members.rs
@@ -159,7 +159,7 @@
 
     /// The living members that hold all upstreams, as far as their rank says.
     pub fn keepers(&self) -> Vec<&Member> {
-        watchers::keepers(self.alive().map(|member| (member.card.rank(), member)))
+        watchers::full_holders(self.alive().map(|member| (member.card.rank(), member)))
     }
 
     /// The newest version of the configuration that any member told.
--- a/src/gateway/policy/active.rs
+++ b/src/gateway/policy/active.rs
@@ -11,5 +11,5 @@
 
 /// The instances that callers are sent to, of those of one failure domain that take callers.
 pub fn active<T>(ready: impl Iterator<Item = (Rank, T)>) -> Vec<T> {
-    watchers::first(MOST_ACTIVE, ready)
+    watchers::first_in_rank(MOST_ACTIVE, ready)
 }
--- a/tests/gateway/watchers.rs
+++ b/tests/gateway/watchers.rs
@@ -1,6 +1,6 @@
 //! Which instances call the directory: pure steps over the ids of those that live.
 
-use siskinrock::gateway::policy::watchers::{self, Rank, Turn, rank};
+use siskinrock::gateway::policy::watchers::{self, Rank, WatchPosition, rank};
 
 fn ids(count: usize) -> Vec<String> {
     (0..count).map(|number| format!("edge-{number}")).collect()
@@ -15,9 +15,9 @@
 fn four_watch_and_four_register_however_many_there_are() {
     for count in [1, 4, 9, 30, 195, 361, 1_000] {
         let all = ids(count);
-        let watches = |id: &&String| Turn::of(rank(id, 10), others(&all, id)).watches();
+        let watches = |id: &&String| WatchPosition::of(rank(id, 10), others(&all, id)).is_watcher();
         assert_eq!(all.iter().filter(watches).count(), count.min(4), "of {count}");
-        let registers = |id: &&String| watchers::registers(rank(id, 10), others(&all, id));
+        let registers = |id: &&String| watchers::should_register(rank(id, 10), others(&all, id));
         assert_eq!(all.iter().filter(registers).count(), count.min(4), "of {count}");
     }
 }
@@ -27,7 +27,8 @@
 fn the_next_in_rank_watches_for_one_that_is_turned_away() {
     let all = ids(9);
     let watching = |first_hand: &[String]| -> Vec<String> {
-        let watches = |id: &&String| Turn::of(rank(id, 10), others(first_hand, id)).watches();
+        let watches =
+            |id: &&String| WatchPosition::of(rank(id, 10), others(first_hand, id)).is_watcher();
         all.iter().filter(watches).cloned().collect()
     };
     let before = watching(&all);
@@ -41,9 +42,10 @@
 /// While the store turned all away, 195 instances made 390 calls a second.
 #[test]
 fn a_directory_that_answers_nobody_is_asked_less_often_by_those_of_a_high_rank() {
-    assert_eq!([0, 3, 4, 8, 100].map(Turn::patience), [1, 1, 2, 3, 26]);
-    let calls_a_second =
-        |count: usize| -> f64 { (0..count).map(|rank| 2.0 / Turn::patience(rank) as f64).sum() };
+    assert_eq!([0, 3, 4, 8, 100].map(WatchPosition::backoff_factor), [1, 1, 2, 3, 26]);
+    let calls_a_second = |count: usize| -> f64 {
+        (0..count).map(|rank| 2.0 / WatchPosition::backoff_factor(rank) as f64).sum()
+    };
     assert!(calls_a_second(195) < 40.0, "{}", calls_a_second(195));
     assert!(calls_a_second(361) < 45.0, "{}", calls_a_second(361));
 }
@@ -51,9 +53,9 @@
 /// The first notices within two seconds what the directory told nobody; the others rely on it.
 #[test]
 fn the_first_in_rank_asks_most_often() {
-    let turns = [0, 1, 2, 3].map(|before| Turn { before, others: 3 });
-    assert_eq!(turns.map(Turn::wait_ms), [2_000, 4_000, 6_000, 8_000]);
-    assert_eq!(turns.map(Turn::gather_ms), [400, 800, 1_200, 1_600]);
+    let turns = [0, 1, 2, 3].map(|ahead| WatchPosition { ahead, others: 3 });
+    assert_eq!(turns.map(WatchPosition::wait_ms), [2_000, 4_000, 6_000, 8_000]);
+    assert_eq!(turns.map(WatchPosition::batch_delay_ms), [400, 800, 1_200, 1_600]);
 }
 
 /// All instances start at once and hear from the directory; all but four leave it to those, one by one.
@@ -62,7 +64,7 @@
     for count in [9, 73, 300, 1_000] {
         let asked: usize = (4..count)
             .rev()
-            .map(|left| if watchers::doubts(left, left - 1) { left } else { 0 })
+            .map(|left| if watchers::should_check_directory(left, left - 1) { left } else { 0 })
             .sum();
         assert!(asked <= 16, "{asked} calls of {count}");
     }
@@ -70,8 +72,8 @@
 
 #[test]
 fn the_last_watchers_ask_when_one_of_them_loses_the_directory() {
-    assert!(watchers::doubts(3, 2));
-    assert!(watchers::doubts(1, 0));
-    assert!(!watchers::doubts(2, 2), "nothing changed");
-    assert!(!watchers::doubts(2, 3), "one more hears from it");
+    assert!(watchers::should_check_directory(3, 2));
+    assert!(watchers::should_check_directory(1, 0));
+    assert!(!watchers::should_check_directory(2, 2), "nothing changed");
+    assert!(!watchers::should_check_directory(2, 3), "one more hears from it");
 }
