--- a/src/gateway/control/knowledge.rs
+++ b/src/gateway/control/knowledge.rs
@@ -122,7 +122,7 @@
             let services = board.fleet.upstreams.values().map(|upstream| &upstream.service);
             services.filter(|service| board.part.large.contains(*service))
         };
-        let share = asked.share.unwrap_or_else(|| subset::first_share(large()));
+        let share = asked.share.unwrap_or_else(|| subset::initial_share(large()));
         let part = Part { share, large: board.part.large.clone() };
         let holds = shares::holds(&asked.id, &part);
         if asked.since > 0 && asked.after.is_empty() {
--- a/src/gateway/control/shares.rs
+++ b/src/gateway/control/shares.rs
@@ -9,7 +9,7 @@
 use super::super::fleet::Upstream;
 use super::super::loads::Part;
 use super::super::membership::Message;
-use super::super::policy::subset::{self, Holder, Share};
+use super::super::policy::subset::{self, InstanceSubset, Share};
 use super::super::policy::watchers;
 use super::{Board, Control};
 
@@ -49,14 +49,14 @@
     pub(super) fn suitable_share(board: &Board) -> Share {
         let services = board.fleet.upstreams.values().map(|upstream| &upstream.service);
         let large = services.filter(|service| board.part.large.contains(*service));
-        subset::share(large, board.part.share, board.membership.alive().count() + 1)
+        subset::suitable_share(large, board.part.share, board.membership.alive().count() + 1)
     }
 
     /// Works out which services are large, which whoever holds all upstreams does.
     pub(super) fn note_large(board: &mut Board) {
         if board.part.share.is_all() {
             let services = board.fleet.upstreams.values().map(|upstream| &upstream.service);
-            board.part.large = subset::large(services, &board.part.large);
+            board.part.large = subset::large_services(services, &board.part.large);
         }
     }
 
@@ -147,7 +147,7 @@
 
 /// Whether an instance holds an upstream, by the upstream's id and service.
 pub(super) fn holds(instance: &str, part: &Part) -> impl Fn(&str, &str) -> bool + use<> {
-    let holder = Holder::new(instance);
+    let holder = InstanceSubset::new(instance);
     let Part { share, large } = part.clone();
     move |id, service| !large.contains(service) || holder.holds(id, share)
 }
--- a/src/gateway/policy/subset.rs
+++ b/src/gateway/policy/subset.rs
@@ -16,16 +16,16 @@
 
 /// Minimum number of instances that hold an upstream, on average: with fewer, all of them might be
 /// lost, or leave it idle.
-const LEAST_HOLDERS: usize = 16;
+const MIN_HOLDERS: usize = 16;
 /// Minimum number of upstreams of a large service that an instance holds. With so many, load
 /// balancing is as good as over all upstreams: they are hundreds of times as many as the requests
 /// that one instance has at once, and are in all failure domains.
-const LEAST_HELD: usize = 256;
+const MIN_HELD_UPSTREAMS: usize = 256;
 /// Number of upstreams from which a service is large.
-const LARGE: usize = 2 * LEAST_HELD;
+const MIN_LARGE_UPSTREAMS: usize = 2 * MIN_HELD_UPSTREAMS;
 /// A large service stays large until it has fewer upstreams than this, so that a few that come and
 /// go change nothing.
-const STILL_LARGE: usize = LARGE - LARGE / 4;
+const MIN_STILL_LARGE_UPSTREAMS: usize = MIN_LARGE_UPSTREAMS - MIN_LARGE_UPSTREAMS / 4;
 
 /// The fraction of the large services' upstreams that an instance holds, as the number of times
 /// that the whole is halved.
@@ -40,7 +40,7 @@
     /// upstreams, and each upstream enough of the instances.
     pub fn of(upstreams: usize, instances: usize) -> Share {
         let halvings = |wanted: usize| wanted.max(1).ilog2() as u8;
-        Share(halvings(upstreams / LEAST_HELD).min(halvings(instances / LEAST_HOLDERS)))
+        Share(halvings(upstreams / MIN_HELD_UPSTREAMS).min(halvings(instances / MIN_HOLDERS)))
     }
 
     /// Creates a share from a number of halvings.
@@ -77,14 +77,14 @@
 
 /// Decides which upstreams of large services an instance holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Holder {
+pub struct InstanceSubset {
     seed: u64,
 }
 
-impl Holder {
+impl InstanceSubset {
     /// Returns the subset of an instance, given its id.
-    pub fn new(instance: &str) -> Holder {
-        Holder { seed: xxh3_64(instance.as_bytes()) }
+    pub fn new(instance: &str) -> InstanceSubset {
+        InstanceSubset { seed: xxh3_64(instance.as_bytes()) }
     }
 
     /// Returns whether the instance holds an upstream of a large service with this share.
@@ -96,13 +96,18 @@
 
 /// Returns the services that are too large for every instance to hold whole, given those that were
 /// before.
-pub fn large<'a>(
+pub fn large_services<'a>(
     services: impl Iterator<Item = &'a Arc<str>>,
-    before: &BTreeSet<Arc<str>>,
+    previously_large: &BTreeSet<Arc<str>>,
 ) -> BTreeSet<Arc<str>> {
-    let counts = counts(services);
+    let counts = count_by_service(services);
     let is_large = |service: &Arc<str>, count: usize| {
-        count >= if before.contains(service) { STILL_LARGE } else { LARGE }
+        count
+            >= if previously_large.contains(service) {
+                MIN_STILL_LARGE_UPSTREAMS
+            } else {
+                MIN_LARGE_UPSTREAMS
+            }
     };
     let large = counts.into_iter().filter(|(service, count)| is_large(service, *count));
     large.map(|(service, _)| Arc::clone(service)).collect()
@@ -110,24 +115,30 @@
 
 /// Returns the share that suits the large services and a number of instances. `held` yields the
 /// service of each upstream of a large service that this instance holds by its `own` share.
-pub fn share<'a>(held: impl Iterator<Item = &'a Arc<str>>, own: Share, instances: usize) -> Share {
-    let all = counts(held).into_values().map(|held| held << own.0);
+pub fn suitable_share<'a>(
+    held: impl Iterator<Item = &'a Arc<str>>,
+    own: Share,
+    instances: usize,
+) -> Share {
+    let all = count_by_service(held).into_values().map(|held| held << own.0);
     all.map(|count| Share::of(count, instances)).min().unwrap_or(Share::ALL)
 }
 
 /// Returns the share for an instance that starts. `all` yields the service of each upstream of the
 /// large services. Assumes many instances: in a fleet that starts together, nobody knows yet how
 /// many there are.
-pub fn first_share<'a>(all: impl Iterator<Item = &'a Arc<str>>) -> Share {
-    share(all, Share::ALL, usize::MAX)
+pub fn initial_share<'a>(all: impl Iterator<Item = &'a Arc<str>>) -> Share {
+    suitable_share(all, Share::ALL, usize::MAX)
 }
 
 /// Returns whether so few instances are left that this share leaves upstreams without any.
 pub fn is_too_narrow(share: Share, instances: usize) -> bool {
-    share.0 > 0 && instances >> share.0 < LEAST_HOLDERS / 2
+    share.0 > 0 && instances >> share.0 < MIN_HOLDERS / 2
 }
 
-fn counts<'a>(services: impl Iterator<Item = &'a Arc<str>>) -> BTreeMap<&'a Arc<str>, usize> {
+fn count_by_service<'a>(
+    services: impl Iterator<Item = &'a Arc<str>>,
+) -> BTreeMap<&'a Arc<str>, usize> {
     let mut counts = BTreeMap::new();
     for service in services {
         *counts.entry(service).or_insert(0) += 1;
--- a/tests/gateway/subset.rs
+++ b/tests/gateway/subset.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use siskinrock::gateway::fleet::{Change, Delta, Fleet, Upstream};
-use siskinrock::gateway::policy::subset::{self, Holder, Share};
+use siskinrock::gateway::policy::subset::{self, InstanceSubset, Share};
 use yare::parameterized;
 
 fn upstream(number: usize) -> Upstream {
@@ -24,8 +24,8 @@
     (0..count).map(upstream).collect()
 }
 
-fn holders(instances: usize) -> Vec<Holder> {
-    (0..instances).map(|number| Holder::new(&format!("edge-{number}"))).collect()
+fn holders(instances: usize) -> Vec<InstanceSubset> {
+    (0..instances).map(|number| InstanceSubset::new(&format!("edge-{number}"))).collect()
 }
 
 /// What an instance holds doesn't grow with the fleet, and no upstream is left without instances.
@@ -39,7 +39,7 @@
 fn each_instance_holds_enough_and_each_upstream_is_held(instances: usize, count: usize) {
     let all = upstreams(count);
     let services = all.iter().map(|upstream| &upstream.service);
-    let share = subset::share(services, Share::ALL, instances);
+    let share = subset::suitable_share(services, Share::ALL, instances);
     let mut held_by: BTreeMap<&str, usize> = BTreeMap::new();
     for holder in holders(instances) {
         let held = all.iter().filter(|upstream| holder.holds(&upstream.id, share));
@@ -56,7 +56,7 @@
 #[test]
 fn a_wider_share_holds_what_a_narrower_one_does() {
     let all = upstreams(2_000);
-    let holder = Holder::new("edge-7");
+    let holder = InstanceSubset::new("edge-7");
     let mut share = Share::of(10_000, 1_000);
     while !share.is_all() {
         let wider = share.wider();
@@ -74,7 +74,8 @@
 #[parameterized(thousand = { 1_000, 10_000 }, twice = { 2_000, 20_000 })]
 fn no_request_is_refused_while_an_engine_is_free(instances: usize, count: usize) {
     let all = upstreams(count);
-    let share = subset::share(all.iter().map(|upstream| &upstream.service), Share::ALL, instances);
+    let share =
+        subset::suitable_share(all.iter().map(|upstream| &upstream.service), Share::ALL, instances);
     let mut random = fastrand::Rng::with_seed(5);
     let free: BTreeSet<&str> =
         all.iter().filter(|_| random.u32(..100) < 8).map(|upstream| &*upstream.id).collect();
@@ -90,7 +91,8 @@
 fn load_is_as_even_as_with_the_whole_list() {
     const REQUESTS: usize = 20_000;
     let all = upstreams(3_000);
-    let share = subset::share(all.iter().map(|upstream| &upstream.service), Share::ALL, 300);
+    let share =
+        subset::suitable_share(all.iter().map(|upstream| &upstream.service), Share::ALL, 300);
     let all_holders = holders(300);
     let held: Vec<Vec<usize>> = all_holders
         .iter()
@@ -112,7 +114,7 @@
 fn a_service_is_large_until_it_is_clearly_small() {
     let services = |count: usize| vec![Arc::<str>::from("plan"); count];
     let large = |count: usize, before: &BTreeSet<Arc<str>>| {
-        subset::large(services(count).iter(), before).contains("plan")
+        subset::large_services(services(count).iter(), before).contains("plan")
     };
     let no = BTreeSet::new();
     let yes = BTreeSet::from([Arc::from("plan")]);
@@ -120,7 +122,7 @@
     assert_eq!([383, 384].map(|count| large(count, &yes)), [false, true]);
 }
 
-fn part(fleet: &Fleet, holder: Holder, share: Share) -> BTreeMap<Arc<str>, Upstream> {
+fn part(fleet: &Fleet, holder: InstanceSubset, share: Share) -> BTreeMap<Arc<str>, Upstream> {
     let held = fleet.upstreams.iter().filter(|(id, _)| holder.holds(id, share));
     held.map(|(id, upstream)| (Arc::clone(id), upstream.clone())).collect()
 }
@@ -130,7 +132,7 @@
 #[parameterized(one = { 3 }, two = { 5 }, three = { 9 })]
 fn a_part_of_the_list_ends_up_right(seed: u64) {
     let share = Share::from_halvings(2);
-    let holder = Holder::new("edge-3");
+    let holder = InstanceSubset::new("edge-3");
     let holds = |id: &str, _: &str| holder.holds(id, share);
     let mut random = fastrand::Rng::with_seed(seed);
     let mut whole = Fleet::default();
