--- a/src/gateway/control/duties.rs
+++ b/src/gateway/control/duties.rs
@@ -13,7 +13,7 @@
 use super::super::membership::{Message, Phase};
 use super::super::policy::lease::{Action, Try};
 use super::super::policy::scaling::{Known, Order, Scaler, Seen};
-use super::super::policy::usage::{Schedule, UsageNews, Window};
+use super::super::policy::usage::{Schedule, UsageUpdate, Window};
 use super::super::policy::watchers;
 use super::super::view::DutyView;
 use super::{Board, Control};
@@ -44,28 +44,28 @@
             for (organisation, began_ms) in self.shared.take_begun() {
                 board.counter.count(organisation, began_ms);
             }
-            let slots = board.counter.told(now_ms);
+            let slots = board.counter.recent_slots(now_ms);
             if slots.is_empty() && now_ms < told_ms + TELL_NOTHING_MS {
                 continue;
             }
             told_ms = now_ms;
-            let news = UsageNews {
+            let news = UsageUpdate {
                 id: self.me.id.clone(),
                 incarnation: self.me.incarnation,
-                steady_ms: now_ms,
+                monotonic_ms: now_ms,
                 wall_ms: clock::wall_ms(),
                 slots,
             };
             let addrs = self.duty_candidates(&board);
-            board.usage.hear(news.clone(), now_ms);
+            board.usage.apply(news.clone(), now_ms);
             drop(board);
             self.send(&Message::Usage(news), &addrs);
         }
     }
 
-    pub(super) fn hear_usage(&self, news: UsageNews) {
+    pub(super) fn hear_usage(&self, news: UsageUpdate) {
         let now_ms = self.clock.now_ms();
-        self.board.borrow_mut().usage.hear(news, now_ms);
+        self.board.borrow_mut().usage.apply(news, now_ms);
     }
 
     /// The other instances that may hold the lease.
@@ -204,8 +204,8 @@
             reported.clear();
             return Ok(());
         }
-        let true_ms = self.board.borrow().usage.true_ms(self.clock.now_ms());
-        let due: Vec<Window> = schedule.due(true_ms).collect();
+        let cluster_ms = self.board.borrow().usage.cluster_ms(self.clock.now_ms());
+        let due: Vec<Window> = schedule.due(cluster_ms).collect();
         let oldest = due.first().map_or(0, |window| window.number);
         reported.retain(|number| *number >= oldest);
         for window in due {
@@ -236,7 +236,7 @@
     /// The one report of a window: what an earlier holder stored, or else what is known now. It is
     /// stored before it is sent, so that whoever takes over sends the same.
     async fn report_of(&self, duties: &dyn DutyCalls, window: Window) -> Result<Report, Fault> {
-        let counts = self.board.borrow().usage.counted(window);
+        let counts = self.board.borrow().usage.counts_in(window);
         let report = duties.report(window.number, &counts);
         match duties.store_report(window.number, report.clone()).await? {
             Written::Now(_) => Ok(report),
--- a/src/gateway/membership/message.rs
+++ b/src/gateway/membership/message.rs
@@ -8,7 +8,7 @@
 use super::super::fleet::{Departure, Upstream};
 use super::super::loads::{Changes, Digest, LoadNews};
 use super::super::policy::subset::Share;
-use super::super::policy::usage::UsageNews;
+use super::super::policy::usage::UsageUpdate;
 use super::super::rate::{AdvertisedRate, Permit, Rate};
 use super::card::{Card, Versions};
 use super::rumors::Rumor;
@@ -51,7 +51,7 @@
     /// What upstreams said in their answers.
     Signals(SignalNews),
     /// What the sender counted for the report of usage.
-    Usage(UsageNews),
+    Usage(UsageUpdate),
 }
 
 /// What upstreams said to instances in their answers.
--- a/src/gateway/policy/usage.rs
+++ b/src/gateway/policy/usage.rs
@@ -17,25 +17,25 @@
 /// of several seconds is a few percent.
 pub const SLOT_MS: u64 = 100;
 /// How long a slot is sent again: a call is known to have run only once its response arrives.
-const REPEATED_MS: u64 = 4_000;
+const RESENT_FOR_MS: u64 = 4_000;
 /// How long counts received from others are kept: until the report of their window can no longer be
 /// due.
-const KEPT_MS: u64 = 60_000;
+const RETENTION_MS: u64 = 60_000;
 /// How long the clock reading of an instance is used.
-const CLOCK_MS: u64 = 15_000;
+const CLOCK_VALID_MS: u64 = 15_000;
 
 /// Number of requests that started, by organisation.
 pub type Counts = BTreeMap<Arc<str>, u64>;
 
 /// Counts that an instance sends to others.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct UsageNews {
+pub struct UsageUpdate {
     /// The instance that counted.
     pub id: Arc<str>,
     /// Its incarnation.
     pub incarnation: u64,
     /// Its monotonic clock when it sent this update.
-    pub steady_ms: u64,
+    pub monotonic_ms: u64,
     /// Its wall clock when it sent this update.
     pub wall_ms: u64,
     /// Its counts, by slot of its monotonic clock.
@@ -50,14 +50,14 @@
 
 impl Counter {
     /// Counts a request that started at a time of the monotonic clock.
-    pub fn count(&mut self, organisation: Arc<str>, began_ms: u64) {
-        let slot = self.slots.entry(began_ms / SLOT_MS).or_default();
+    pub fn count(&mut self, organisation: Arc<str>, started_ms: u64) {
+        let slot = self.slots.entry(started_ms / SLOT_MS).or_default();
         *slot.entry(organisation).or_insert(0) += 1;
     }
 
     /// Returns the slots to send now, and drops older ones.
-    pub fn told(&mut self, now_ms: u64) -> BTreeMap<u64, Counts> {
-        let first = now_ms.saturating_sub(REPEATED_MS) / SLOT_MS;
+    pub fn recent_slots(&mut self, now_ms: u64) -> BTreeMap<u64, Counts> {
+        let first = now_ms.saturating_sub(RESENT_FOR_MS) / SLOT_MS;
         self.slots = self.slots.split_off(&first);
         self.slots.clone()
     }
@@ -67,14 +67,14 @@
 struct Origin {
     /// Each slot with the cluster time of its middle.
     slots: BTreeMap<u64, (u64, Counts)>,
-    heard_ms: u64,
+    received_ms: u64,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Clock {
     /// The instance's wall clock minus this instance's monotonic clock.
-    ahead_ms: u64,
-    heard_ms: u64,
+    offset_ms: u64,
+    received_ms: u64,
 }
 
 /// Counts of all instances, as known to one of them.
@@ -86,20 +86,20 @@
 
 impl Usage {
     /// Applies an update from an instance; the instance applies its own updates in the same way.
-    pub fn hear(&mut self, news: UsageNews, now_ms: u64) {
-        let clock = Clock { ahead_ms: news.wall_ms.saturating_sub(now_ms), heard_ms: now_ms };
-        self.clocks.insert(Arc::clone(&news.id), clock);
+    pub fn apply(&mut self, update: UsageUpdate, now_ms: u64) {
+        let clock = Clock { offset_ms: update.wall_ms.saturating_sub(now_ms), received_ms: now_ms };
+        self.clocks.insert(Arc::clone(&update.id), clock);
         self.forget(now_ms);
-        let true_now_ms = self.true_ms(now_ms);
+        let cluster_now_ms = self.cluster_ms(now_ms);
         let origin = self
             .origins
-            .entry((news.id, news.incarnation))
-            .or_insert_with(|| Origin { slots: BTreeMap::new(), heard_ms: now_ms });
-        origin.heard_ms = now_ms;
-        for (slot, counts) in news.slots {
+            .entry((update.id, update.incarnation))
+            .or_insert_with(|| Origin { slots: BTreeMap::new(), received_ms: now_ms });
+        origin.received_ms = now_ms;
+        for (slot, counts) in update.slots {
             let middle_ms = slot * SLOT_MS + SLOT_MS / 2;
-            let age_ms = news.steady_ms.saturating_sub(middle_ms);
-            let at_ms = true_now_ms.saturating_sub(age_ms);
+            let age_ms = update.monotonic_ms.saturating_sub(middle_ms);
+            let at_ms = cluster_now_ms.saturating_sub(age_ms);
             let known = origin.slots.entry(slot).or_insert_with(|| (at_ms, Counts::new()));
             for (organisation, count) in counts {
                 let kept = known.1.entry(organisation).or_insert(0);
@@ -109,16 +109,16 @@
     }
 
     /// Converts a time of this instance's monotonic clock to cluster time.
-    pub fn true_ms(&self, now_ms: u64) -> u64 {
-        let mut ahead_ms: Vec<u64> = self.clocks.values().map(|clock| clock.ahead_ms).collect();
-        ahead_ms.sort_unstable();
-        now_ms + ahead_ms.get(ahead_ms.len() / 2).copied().unwrap_or(0)
+    pub fn cluster_ms(&self, now_ms: u64) -> u64 {
+        let mut offset_ms: Vec<u64> = self.clocks.values().map(|clock| clock.offset_ms).collect();
+        offset_ms.sort_unstable();
+        now_ms + offset_ms.get(offset_ms.len() / 2).copied().unwrap_or(0)
     }
 
     /// Returns the counts of all instances in a window.
-    pub fn counted(&self, window: Window) -> Counts {
+    pub fn counts_in(&self, window: Window) -> Counts {
         let slots = self.origins.values().flat_map(|origin| origin.slots.values());
-        let inside = slots.filter(|(at_ms, _)| window.holds(*at_ms));
+        let inside = slots.filter(|(at_ms, _)| window.contains(*at_ms));
         let mut sums = Counts::new();
         for (organisation, count) in inside.flat_map(|(_, counts)| counts) {
             *sums.entry(Arc::clone(organisation)).or_insert(0) += count;
@@ -127,10 +127,10 @@
     }
 
     fn forget(&mut self, now_ms: u64) {
-        self.clocks.retain(|_, clock| clock.heard_ms + CLOCK_MS > now_ms);
-        self.origins.retain(|_, origin| origin.heard_ms + KEPT_MS > now_ms);
+        self.clocks.retain(|_, clock| clock.received_ms + CLOCK_VALID_MS > now_ms);
+        self.origins.retain(|_, origin| origin.received_ms + RETENTION_MS > now_ms);
         for origin in self.origins.values_mut() {
-            while origin.slots.len() as u64 > KEPT_MS / SLOT_MS {
+            while origin.slots.len() as u64 > RETENTION_MS / SLOT_MS {
                 origin.slots.pop_first();
             }
         }
@@ -148,8 +148,8 @@
 
 impl Window {
     /// Returns the window that contains a time.
-    pub fn at(true_ms: u64, length_ms: u64) -> Window {
-        Window { number: true_ms / length_ms, length_ms }
+    pub fn containing(cluster_ms: u64, length_ms: u64) -> Window {
+        Window { number: cluster_ms / length_ms, length_ms }
     }
 
     /// Returns when it ends.
@@ -157,8 +157,8 @@
         (self.number + 1) * self.length_ms
     }
 
-    fn holds(self, true_ms: u64) -> bool {
-        Window::at(true_ms, self.length_ms) == self
+    fn contains(self, cluster_ms: u64) -> bool {
+        Window::containing(cluster_ms, self.length_ms) == self
     }
 }
 
@@ -169,21 +169,21 @@
     /// Length of a window.
     pub window_ms: u64,
     /// How long after a window's end its report is accepted.
-    pub late_ms: u64,
+    pub max_delay_ms: u64,
 }
 
 impl Schedule {
     /// Returns how long after a window's end its report is made: a fraction of the time in which it
     /// is accepted, so that the next lease holder can still send it.
-    fn settle_ms(self) -> u64 {
-        self.late_ms / 4
+    fn report_delay_ms(self) -> u64 {
+        self.max_delay_ms / 4
     }
 
     /// Returns the windows that may be reported at a cluster time, oldest first.
-    pub fn due(self, true_ms: u64) -> impl Iterator<Item = Window> {
-        let Schedule { window_ms, late_ms } = self;
-        let newest = true_ms.saturating_sub(self.settle_ms()) / window_ms;
-        let oldest = (true_ms.saturating_sub(late_ms) / window_ms).max(1);
+    pub fn due(self, cluster_ms: u64) -> impl Iterator<Item = Window> {
+        let Schedule { window_ms, max_delay_ms } = self;
+        let newest = cluster_ms.saturating_sub(self.report_delay_ms()) / window_ms;
+        let oldest = (cluster_ms.saturating_sub(max_delay_ms) / window_ms).max(1);
         (oldest.saturating_sub(1)..newest)
             .map(move |number| Window { number, length_ms: window_ms })
     }
--- a/tests/gateway/duties.rs
+++ b/tests/gateway/duties.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use siskinrock::gateway::policy::lease::{Action, DutyLease, Holder, Try};
-use siskinrock::gateway::policy::usage::{Counter, Schedule, Usage, UsageNews, Window};
+use siskinrock::gateway::policy::usage::{Counter, Schedule, Usage, UsageUpdate, Window};
 use siskinrock_fakes::caller;
 use siskinrock_fakes::cloud::{Cloud, Fault};
 use siskinrock_fakes::process::wait_for;
@@ -241,16 +241,16 @@
 fn news(
     id: &str,
     incarnation: u64,
-    steady_ms: u64,
+    monotonic_ms: u64,
     wall_ms: u64,
     counter: &mut Counter,
-) -> UsageNews {
-    let slots = counter.told(steady_ms);
-    UsageNews { id: id.into(), incarnation, steady_ms, wall_ms, slots }
+) -> UsageUpdate {
+    let slots = counter.recent_slots(monotonic_ms);
+    UsageUpdate { id: id.into(), incarnation, monotonic_ms, wall_ms, slots }
 }
 
 fn total(usage: &Usage, number: u64) -> u64 {
-    usage.counted(Window { number, length_ms: 5_000 }).values().sum()
+    usage.counts_in(Window { number, length_ms: 5_000 }).values().sum()
 }
 
 /// Messages come twice, late and not at all; an instance that ended keeps what it had told, and none of
@@ -265,7 +265,7 @@
     let mut truth: BTreeMap<u64, u64> = BTreeMap::new();
     let mut counters: Vec<(u64, Counter)> = Vec::new();
     counters.resize_with(instances, || (1, Counter::default()));
-    let mut sent: Vec<UsageNews> = Vec::new();
+    let mut sent: Vec<UsageUpdate> = Vec::new();
     for now_ms in (0..30_000).step_by(20) {
         counters[random.usize(..instances)].1.count("huka".into(), now_ms);
         *truth.entry((START_MS + now_ms) / 5_000).or_insert(0) += 1;
@@ -275,7 +275,7 @@
                 let told = news(&format!("edge-{index}"), *incarnation, now_ms, wall_ms, counter);
                 sent.push(told.clone());
                 if random.u32(..5) > 0 {
-                    usage.hear(told, now_ms);
+                    usage.apply(told, now_ms);
                 }
             }
         }
@@ -285,11 +285,11 @@
             let (incarnation, counter) = &mut counters[index];
             let wall_ms = START_MS + now_ms + skew_ms(index);
             let last = news(&format!("edge-{index}"), *incarnation, now_ms, wall_ms, counter);
-            usage.hear(last, now_ms);
+            usage.apply(last, now_ms);
             (*incarnation, *counter) = (*incarnation + 1, Counter::default());
         }
         if let Some(old) = sent.last().cloned() {
-            usage.hear(old, now_ms);
+            usage.apply(old, now_ms);
         }
     }
     for number in (START_MS / 5_000)..(START_MS + 20_000) / 5_000 {
@@ -302,8 +302,8 @@
 /// A window is reported from a moment after its end, when its counts are known, as long as it is taken.
 #[test]
 fn windows_are_due_after_their_end() {
-    let schedule = Schedule { window_ms: 5_000, late_ms: 10_000 };
-    let due = |true_ms| schedule.due(true_ms).map(|window| window.number).collect::<Vec<_>>();
+    let schedule = Schedule { window_ms: 5_000, max_delay_ms: 10_000 };
+    let due = |cluster_ms| schedule.due(cluster_ms).map(|window| window.number).collect::<Vec<_>>();
     assert_eq!(due(102_499), [17, 18]);
     assert_eq!(due(102_500), [17, 18, 19], "its end was at 100,000");
     assert_eq!(due(109_999), [18, 19, 20]);
