--- a/src/gateway/control/duties.rs
+++ b/src/gateway/control/duties.rs
@@ -11,7 +11,7 @@
 use super::super::duties::{DutyCalls, Fence, Report, Written};
 use super::super::loads::Held;
 use super::super::membership::{Message, Phase};
-use super::super::policy::lease::{Action, Try};
+use super::super::policy::lease::{AcquireAttempt, Action};
 use super::super::policy::scaling::{Known, Order, Scaler, Seen};
 use super::super::policy::usage::{Schedule, UsageUpdate, Window};
 use super::super::policy::watchers;
@@ -130,11 +130,11 @@
             if !is_candidate && !has_it {
                 return Ok(());
             }
-            board.duty_lease.next(before_me, fastrand::u64(1..1 << 53), now_ms)
+            board.duty_lease.next_action(before_me, fastrand::u64(1..1 << 53), now_ms)
         };
         match action {
             None => Ok(()),
-            Some(Action::Take { nonce }) => self.take_lease(duties, nonce).await,
+            Some(Action::Acquire { nonce }) => self.take_lease(duties, nonce).await,
             Some(Action::ReadBack) => {
                 let holder = duties.holder().await?;
                 let now_ms = self.clock.now_ms();
@@ -160,16 +160,16 @@
     }
 
     async fn take_lease(&self, duties: &dyn DutyCalls, nonce: u64) -> Result<(), Fault> {
-        let asked_ms = self.clock.now_ms();
+        let requested_ms = self.clock.now_ms();
         let ttl_ms = self.board.borrow().duty_lease.ttl_ms();
         let lease = duties.grant(ttl_ms).await?;
-        let taken = Try { nonce, lease, asked_ms };
+        let taken = AcquireAttempt { nonce, lease, requested_ms };
         let written = duties.take(&self.me.id, nonce, lease).await;
         let now_ms = self.clock.now_ms();
         let mut board = self.board.borrow_mut();
         match written {
             Ok(Written::Now(token)) => {
-                board.duty_lease.note_taken(taken, token);
+                board.duty_lease.note_acquired(taken, token);
                 slog::info!(self.log, "duties taken over"; "token" => token);
                 self.metrics.count("duties_taken");
                 Ok(())
@@ -181,7 +181,7 @@
             }
             Err(fault @ Fault::Refused { .. }) => Err(fault),
             Err(fault) => {
-                board.duty_lease.note_unsure(taken);
+                board.duty_lease.note_outcome_unknown(taken);
                 Err(fault)
             }
         }
--- a/src/gateway/policy/lease.rs
+++ b/src/gateway/policy/lease.rs
@@ -13,11 +13,11 @@
 
 /// Fraction of the lease, one in so many, by which a holder stops before the end: a call that it
 /// sends is in flight for a while, and the directory's clock differs from its own.
-const MARGIN_PART: u64 = 6;
+const MARGIN_DIVISOR: u64 = 6;
 /// Renewals within one lease: a lost renewal is followed by two more.
-const RENEWALS: u64 = 3;
+const RENEWALS_PER_LEASE: u64 = 3;
 /// How much longer each next instance in rank waits for those ahead of it to take a free lease.
-const NEXT_MS: u64 = 300;
+const DELAY_PER_RANK_MS: u64 = 300;
 
 /// The holder of the lease, as recorded in the directory's entry.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -34,7 +34,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Action {
     /// Write the entry if there is none.
-    Take {
+    Acquire {
         /// Nonce of the write.
         nonce: u64,
     },
@@ -49,21 +49,21 @@
 
 /// An attempt to write the entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Try {
+pub struct AcquireAttempt {
     /// Its nonce.
     pub nonce: u64,
     /// Id of the directory's lease on the entry.
     pub lease: u64,
     /// Time before the attempt's first request was sent.
-    pub asked_ms: u64,
+    pub requested_ms: u64,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Held {
     lease: u64,
     token: u64,
-    until_ms: u64,
-    renew_ms: u64,
+    expires_ms: u64,
+    renew_at_ms: u64,
 }
 
 /// Lease state of one instance.
@@ -71,7 +71,7 @@
 pub struct DutyLease {
     ttl_ms: u64,
     held: Option<Held>,
-    unsure: Option<Try>,
+    unconfirmed: Option<AcquireAttempt>,
     /// Since when the lease has been free, as far as known; `None` if it is held.
     free_since_ms: Option<u64>,
 }
@@ -79,7 +79,7 @@
 impl DutyLease {
     /// Creates a lease that lasts so long without renewal and that nobody is known to hold.
     pub fn new(ttl_ms: u64) -> DutyLease {
-        DutyLease { ttl_ms, held: None, unsure: None, free_since_ms: Some(0) }
+        DutyLease { ttl_ms, held: None, unconfirmed: None, free_since_ms: Some(0) }
     }
 
     /// Returns how long the lease lasts without renewal.
@@ -90,25 +90,25 @@
     /// Returns the fencing token if this instance certainly holds the lease. To be checked right
     /// before each action under the lease.
     pub fn token(&self, now_ms: u64) -> Option<u64> {
-        let margin_ms = self.ttl_ms / MARGIN_PART;
-        let held = self.held.filter(|held| now_ms + margin_ms < held.until_ms)?;
+        let margin_ms = self.ttl_ms / MARGIN_DIVISOR;
+        let held = self.held.filter(|held| now_ms + margin_ms < held.expires_ms)?;
         Some(held.token)
     }
 
-    /// Returns the next step of an instance that has `before` other candidates ahead of it in rank.
-    pub fn next(&mut self, before: usize, nonce: u64, now_ms: u64) -> Option<Action> {
-        if self.held.is_some_and(|held| held.until_ms <= now_ms) {
+    /// Returns the next step of an instance that has `ahead` other candidates before it in rank.
+    pub fn next_action(&mut self, ahead: usize, nonce: u64, now_ms: u64) -> Option<Action> {
+        if self.held.is_some_and(|held| held.expires_ms <= now_ms) {
             self.held = None;
             self.free_since_ms = Some(now_ms);
         }
         if let Some(held) = self.held {
-            return (held.renew_ms <= now_ms).then_some(Action::Renew { lease: held.lease });
+            return (held.renew_at_ms <= now_ms).then_some(Action::Renew { lease: held.lease });
         }
-        if self.unsure.is_some() {
+        if self.unconfirmed.is_some() {
             return Some(Action::ReadBack);
         }
         let free_ms = now_ms.saturating_sub(self.free_since_ms?);
-        (free_ms >= before as u64 * NEXT_MS).then_some(Action::Take { nonce })
+        (free_ms >= ahead as u64 * DELAY_PER_RANK_MS).then_some(Action::Acquire { nonce })
     }
 
     /// Records the holder that the directory reports.
@@ -122,37 +122,37 @@
     }
 
     /// Records that the entry was written, at the revision that is now the fencing token.
-    pub fn note_taken(&mut self, taken: Try, token: u64) {
-        let until_ms = taken.asked_ms + self.ttl_ms;
-        let renew_ms = taken.asked_ms + self.ttl_ms / RENEWALS;
-        self.held = Some(Held { lease: taken.lease, token, until_ms, renew_ms });
-        self.unsure = None;
+    pub fn note_acquired(&mut self, attempt: AcquireAttempt, token: u64) {
+        let expires_ms = attempt.requested_ms + self.ttl_ms;
+        let renew_at_ms = attempt.requested_ms + self.ttl_ms / RENEWALS_PER_LEASE;
+        self.held = Some(Held { lease: attempt.lease, token, expires_ms, renew_at_ms });
+        self.unconfirmed = None;
         self.free_since_ms = None;
     }
 
     /// Records that it is unknown whether the entry was written.
-    pub fn note_unsure(&mut self, unsure: Try) {
-        self.unsure = Some(unsure);
+    pub fn note_outcome_unknown(&mut self, unconfirmed: AcquireAttempt) {
+        self.unconfirmed = Some(unconfirmed);
     }
 
     /// Records the entry as it was read back. An entry written by this instance counts only until
     /// its lease ends; a write that is executed later has no holder, and ends with its lease.
     pub fn note_read(&mut self, entry: Option<&Holder>, now_ms: u64) {
-        let unsure = self.unsure.take();
+        let unconfirmed = self.unconfirmed.take();
         self.note_holder(entry, now_ms);
-        if let (Some(entry), Some(unsure)) = (entry, unsure)
-            && entry.nonce == unsure.nonce
+        if let (Some(entry), Some(unconfirmed)) = (entry, unconfirmed)
+            && entry.nonce == unconfirmed.nonce
         {
-            self.note_taken(unsure, entry.token);
+            self.note_acquired(unconfirmed, entry.token);
         }
     }
 
-    /// Records that a renewal sent at `asked_ms` was granted.
-    pub fn note_renewed(&mut self, asked_ms: u64) {
+    /// Records that a renewal sent at `requested_ms` was granted.
+    pub fn note_renewed(&mut self, requested_ms: u64) {
         let ttl_ms = self.ttl_ms;
         if let Some(held) = &mut self.held {
-            held.until_ms = held.until_ms.max(asked_ms + ttl_ms);
-            held.renew_ms = asked_ms + ttl_ms / RENEWALS;
+            held.expires_ms = held.expires_ms.max(requested_ms + ttl_ms);
+            held.renew_at_ms = requested_ms + ttl_ms / RENEWALS_PER_LEASE;
         }
     }
 
--- a/tests/gateway/duties.rs
+++ b/tests/gateway/duties.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, HashSet, VecDeque};
 use std::time::Duration;
 
-use siskinrock::gateway::policy::lease::{Action, DutyLease, Holder, Try};
+use siskinrock::gateway::policy::lease::{AcquireAttempt, Action, DutyLease, Holder};
 use siskinrock::gateway::policy::usage::{Counter, Schedule, Usage, UsageUpdate, Window};
 use siskinrock_fakes::caller;
 use siskinrock_fakes::cloud::{Cloud, Fault};
@@ -92,8 +92,8 @@
         let now_ms = self.now_ms;
         // No two writes have the same nonce or lease.
         let nonce = now_ms * 10 + by as u64;
-        match self.leases[by].next(0, nonce, now_ms) {
-            Some(Action::Take { nonce }) => self.take(by, nonce, fate),
+        match self.leases[by].next_action(0, nonce, now_ms) {
+            Some(Action::Acquire { nonce }) => self.take(by, nonce, fate),
             Some(Action::ReadBack) if matches!(fate, Fate::Done) => {
                 let holder = self.holder();
                 self.leases[by].note_read(holder.as_ref(), now_ms);
@@ -106,10 +106,10 @@
     fn take(&mut self, by: usize, nonce: u64, fate: Fate) {
         let now_ms = self.now_ms;
         let write = Late { by, nonce, lease: nonce, until_ms: now_ms + TTL };
-        let tried = Try { nonce, lease: nonce, asked_ms: now_ms };
+        let tried = AcquireAttempt { nonce, lease: nonce, requested_ms: now_ms };
         match fate {
             Fate::Done => match self.write(write) {
-                Some(token) => self.leases[by].note_taken(tried, token),
+                Some(token) => self.leases[by].note_acquired(tried, token),
                 None => {
                     let holder = self.holder();
                     self.leases[by].note_holder(holder.as_ref(), now_ms);
@@ -117,12 +117,12 @@
             },
             Fate::AnswerLost => {
                 self.write(write);
-                self.leases[by].note_unsure(tried);
+                self.leases[by].note_outcome_unknown(tried);
             }
-            Fate::Lost => self.leases[by].note_unsure(tried),
+            Fate::Lost => self.leases[by].note_outcome_unknown(tried),
             Fate::Late => {
                 self.late.push(write);
-                self.leases[by].note_unsure(tried);
+                self.leases[by].note_outcome_unknown(tried);
             }
         }
     }
@@ -214,14 +214,14 @@
 #[test]
 fn a_holder_that_was_paused_acts_only_by_a_lease_that_lasts() {
     let mut lease = DutyLease::new(3_000);
-    lease.note_taken(Try { nonce: 1, lease: 5, asked_ms: 1_000 }, 41);
+    lease.note_acquired(AcquireAttempt { nonce: 1, lease: 5, requested_ms: 1_000 }, 41);
     assert_eq!(lease.token(3_400), Some(41));
     assert_eq!(
         lease.token(3_600),
         None,
         "it stops before the directory gives the lease to another"
     );
-    assert!(matches!(lease.next(0, 9, 4_100), Some(Action::Take { nonce: 9 })));
+    assert!(matches!(lease.next_action(0, 9, 4_100), Some(Action::Acquire { nonce: 9 })));
     lease.note_renewed(4_100);
     assert_eq!(lease.token(4_200), None, "a renewal that comes after its end changes nothing");
 }
@@ -232,10 +232,10 @@
     let mut lease = DutyLease::new(3_000);
     let holder = Holder { id: "edge-1".into(), nonce: 3, token: 7 };
     lease.note_holder(Some(&holder), 500);
-    assert_eq!(lease.next(0, 9, 9_000), None, "another one has it");
+    assert_eq!(lease.next_action(0, 9, 9_000), None, "another one has it");
     lease.note_holder(None, 9_000);
-    assert_eq!(lease.next(2, 9, 9_500), None);
-    assert_eq!(lease.next(2, 9, 9_600), Some(Action::Take { nonce: 9 }));
+    assert_eq!(lease.next_action(2, 9, 9_500), None);
+    assert_eq!(lease.next_action(2, 9, 9_600), Some(Action::Acquire { nonce: 9 }));
 }
 
 fn news(
