--- a/src/gateway/control.rs
+++ b/src/gateway/control.rs
@@ -203,7 +203,7 @@
         };
         let contacts = settings.seeds.clone();
         let window_ms = settings.repeat_window_ms;
-        let lease_ms = directory.duties().map_or(0, |duties| duties.terms().lease_ms);
+        let lease_ms = directory.duties().map_or(0, |duties| duties.duty_settings().lease_ms);
         let board = Board {
             config: None,
             fleet: Fleet::default(),
--- a/src/gateway/control/duties.rs
+++ b/src/gateway/control/duties.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use super::super::directory::Fault;
-use super::super::duties::{DutyCalls, Fence, Report, Written};
+use super::super::duties::{CreateOutcome, DutyCalls, Fence, Report};
 use super::super::loads::Held;
 use super::super::membership::{Message, Phase};
 use super::super::policy::lease::{AcquireAttempt, Action};
@@ -79,7 +79,7 @@
     }
 
     fn usage_schedule(&self) -> Option<Schedule> {
-        self.directory.duties().and_then(|duties| duties.terms().usage)
+        self.directory.duties().and_then(|duties| duties.duty_settings().usage)
     }
 
     /// Takes the lease if it is free and this instance may hold it, and does the duties while it does.
@@ -164,17 +164,17 @@
         let ttl_ms = self.board.borrow().duty_lease.ttl_ms();
         let lease = duties.grant(ttl_ms).await?;
         let taken = AcquireAttempt { nonce, lease, requested_ms };
-        let written = duties.take(&self.me.id, nonce, lease).await;
+        let written = duties.acquire(&self.me.id, nonce, lease).await;
         let now_ms = self.clock.now_ms();
         let mut board = self.board.borrow_mut();
         match written {
-            Ok(Written::Now(token)) => {
+            Ok(CreateOutcome::Created(token)) => {
                 board.duty_lease.note_acquired(taken, token);
                 slog::info!(self.log, "duties taken over"; "token" => token);
                 self.metrics.count("duties_taken");
                 Ok(())
             }
-            Ok(Written::Before(holder)) => {
+            Ok(CreateOutcome::Exists(holder)) => {
                 board.duty_lease.note_holder(Some(&holder), now_ms);
                 board.duty_holder = Some(holder);
                 Ok(())
@@ -199,7 +199,7 @@
         duties: &dyn DutyCalls,
         reported: &mut BTreeSet<u64>,
     ) -> Result<(), Fault> {
-        let Some(schedule) = duties.terms().usage else { return Ok(()) };
+        let Some(schedule) = duties.duty_settings().usage else { return Ok(()) };
         if self.fence().is_none() {
             reported.clear();
             return Ok(());
@@ -237,10 +237,10 @@
     /// stored before it is sent, so that whoever takes over sends the same.
     async fn report_of(&self, duties: &dyn DutyCalls, window: Window) -> Result<Report, Fault> {
         let counts = self.board.borrow().usage.counts_in(window);
-        let report = duties.report(window.number, &counts);
+        let report = duties.encode_report(window.number, &counts);
         match duties.store_report(window.number, report.clone()).await? {
-            Written::Now(_) => Ok(report),
-            Written::Before(stored) => {
+            CreateOutcome::Created(_) => Ok(report),
+            CreateOutcome::Exists(stored) => {
                 slog::info!(self.log, "an earlier holder's report is sent again";
                     "window" => window.number);
                 Ok(stored)
@@ -254,7 +254,7 @@
         duties: &dyn DutyCalls,
         scaler: &mut Scaler,
     ) -> Result<(), Fault> {
-        if !duties.terms().orders_workers {
+        if !duties.duty_settings().orders_workers {
             return Ok(());
         }
         if self.fence().is_none() {
@@ -263,7 +263,7 @@
         }
         for order in self.due_orders(scaler) {
             let Some(fence) = self.fence() else { return Ok(()) };
-            let sent = duties.order(fence, &order).await;
+            let sent = duties.send_order(fence, &order).await;
             let now_ms = self.clock.now_ms();
             slog::info!(self.log, "workers ordered"; "service" => &*order.subject.service,
                 "domain" => &*order.subject.domain, "spot" => order.subject.is_spot,
--- a/src/gateway/duties.rs
+++ b/src/gateway/duties.rs
@@ -13,7 +13,7 @@
 
 /// Settings of the duties.
 #[derive(Debug, Clone, Copy)]
-pub struct Terms {
+pub struct DutySettings {
     /// How long the lease lasts without renewal.
     pub lease_ms: u64,
     /// Which windows of usage are reported; `None` if usage isn't reported.
@@ -22,18 +22,18 @@
     pub orders_workers: bool,
 }
 
-impl Terms {
+impl DutySettings {
     /// No duties.
-    pub const NONE: Terms = Terms { lease_ms: 0, usage: None, orders_workers: false };
+    pub const NONE: DutySettings = DutySettings { lease_ms: 0, usage: None, orders_workers: false };
 }
 
 /// Outcome of a write that is made only if there is no entry.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Written<T> {
+pub enum CreateOutcome<T> {
     /// The entry was written, at this revision.
-    Now(u64),
+    Created(u64),
     /// There was an entry already.
-    Before(T),
+    Exists(T),
 }
 
 /// An encoded report of usage: the same bytes each time it is sent or stored.
@@ -51,37 +51,40 @@
 /// The calls of duties. A call without a response may have been executed, or may be executed later.
 pub trait DutyCalls {
     /// Returns the settings of the duties.
-    fn terms(&self) -> Terms;
+    fn duty_settings(&self) -> DutySettings;
 
     /// Creates a lease in the directory that lasts so long without renewal; returns its id.
     fn grant(&self, ttl_ms: u64) -> LocalBoxFuture<'_, Result<u64, Fault>>;
 
     /// Writes the holder's entry under a lease, if there is none.
-    fn take<'a>(
+    fn acquire<'a>(
         &'a self,
         holder: &'a str,
         nonce: u64,
         lease: u64,
-    ) -> LocalBoxFuture<'a, Result<Written<Holder>, Fault>>;
+    ) -> LocalBoxFuture<'a, Result<CreateOutcome<Holder>, Fault>>;
 
     /// Reads the holder's entry.
     fn holder(&self) -> LocalBoxFuture<'_, Result<Option<Holder>, Fault>>;
 
     /// Encodes the report of a window.
-    fn report(&self, window: u64, counts: &Counts) -> Report;
+    fn encode_report(&self, window: u64, counts: &Counts) -> Report;
 
     /// Stores a report, if none is stored for its window.
     fn store_report(
         &self,
         window: u64,
         report: Report,
-    ) -> LocalBoxFuture<'_, Result<Written<Report>, Fault>>;
+    ) -> LocalBoxFuture<'_, Result<CreateOutcome<Report>, Fault>>;
 
     /// Sends a report to the platform.
     fn send_report(&self, fence: Fence, report: Report) -> LocalBoxFuture<'_, Result<(), Fault>>;
 
     /// Orders workers from the platform. A lack of capacity has the same response as a fencing
     /// token that is too low.
-    fn order<'a>(&'a self, fence: Fence, order: &'a Order)
-    -> LocalBoxFuture<'a, Result<(), Fault>>;
+    fn send_order<'a>(
+        &'a self,
+        fence: Fence,
+        order: &'a Order,
+    ) -> LocalBoxFuture<'a, Result<(), Fault>>;
 }
