--- a/src/gateway/control/duties.rs
+++ b/src/gateway/control/duties.rs
@@ -12,7 +12,7 @@
 use super::super::loads::Held;
 use super::super::membership::{Message, Phase};
 use super::super::policy::lease::{AcquireAttempt, Action};
-use super::super::policy::scaling::{Known, Order, Scaler, Seen};
+use super::super::policy::scaling::{Scaler, ServiceState, WorkerCounts, WorkerOrder};
 use super::super::policy::usage::{Schedule, UsageUpdate, Window};
 use super::super::policy::watchers;
 use super::super::view::DutyView;
@@ -265,12 +265,12 @@
             let Some(fence) = self.fence() else { return Ok(()) };
             let sent = duties.send_order(fence, &order).await;
             let now_ms = self.clock.now_ms();
-            slog::info!(self.log, "workers ordered"; "service" => &*order.subject.service,
-                "domain" => &*order.subject.domain, "spot" => order.subject.is_spot,
+            slog::info!(self.log, "workers ordered"; "service" => &*order.group.service,
+                "domain" => &*order.group.domain, "spot" => order.group.is_spot,
                 "desired" => order.desired, "fault" => sent.as_ref().err().map(ToString::to_string));
             match sent {
                 Ok(()) => scaler.note_sent(&order, true, now_ms),
-                Err(Fault::Superseded) => scaler.note_none_left(&order, now_ms),
+                Err(Fault::Superseded) => scaler.note_no_capacity(&order, now_ms),
                 Err(fault) => {
                     scaler.note_sent(&order, false, now_ms);
                     return Err(fault);
@@ -281,7 +281,7 @@
         Ok(())
     }
 
-    fn due_orders(&self, scaler: &mut Scaler) -> Vec<Order> {
+    fn due_orders(&self, scaler: &mut Scaler) -> Vec<WorkerOrder> {
         let now_ms = self.clock.now_ms();
         let board = self.board.borrow();
         let Some(config) = board.config.as_ref().filter(|_| board.has_fleet) else {
@@ -290,14 +290,14 @@
         let own = self.shared.own();
         let mut orders = Vec::new();
         for (name, service) in &config.services {
-            let Some(terms) = &service.scaling else { continue };
+            let Some(policy) = &service.scaling else { continue };
             let memory_tokens = service.engine.as_ref().and_then(|engine| engine.memory_tokens);
             let Some(memory_tokens) = memory_tokens else { continue };
             let of_service = || {
                 let all = board.fleet.upstreams.values();
                 all.filter(|upstream| upstream.service == *name)
             };
-            let mut workers: BTreeMap<(Arc<str>, bool), Seen> = BTreeMap::new();
+            let mut workers: BTreeMap<(Arc<str>, bool), WorkerCounts> = BTreeMap::new();
             for upstream in of_service() {
                 let key = (Arc::clone(&upstream.domain), upstream.is_spot);
                 let seen = workers.entry(key).or_default();
@@ -312,9 +312,9 @@
             };
             let all = others.chain(own.held.iter().filter(is_of_service));
             let tokens: u64 = all.map(|held| held.reserved_tokens).sum();
-            let filled = tokens as f64 / memory_tokens as f64;
-            let known = Known { service: name, terms, workers: &workers, filled };
-            orders.extend(scaler.step(&known, now_ms));
+            let demand_workers = tokens as f64 / memory_tokens as f64;
+            let state = ServiceState { service: name, policy, workers: &workers, demand_workers };
+            orders.extend(scaler.step(&state, now_ms));
         }
         orders
     }
--- a/src/gateway/duties.rs
+++ b/src/gateway/duties.rs
@@ -8,7 +8,7 @@
 
 use super::directory::Fault;
 use super::policy::lease::Holder;
-use super::policy::scaling::Order;
+use super::policy::scaling::WorkerOrder;
 use super::policy::usage::{Counts, Schedule};
 
 /// Settings of the duties.
@@ -85,6 +85,6 @@
     fn send_order<'a>(
         &'a self,
         fence: Fence,
-        order: &'a Order,
+        order: &'a WorkerOrder,
     ) -> LocalBoxFuture<'a, Result<(), Fault>>;
 }
--- a/tests/gateway/scaling.rs
+++ b/tests/gateway/scaling.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use siskinrock::gateway::policy::scaling::{Known, Order, Scaler, Seen};
+use siskinrock::gateway::policy::scaling::{Scaler, ServiceState, WorkerCounts, WorkerOrder};
 use siskinrock::gateway::route::Scaling;
 
 const ZONES: [&str; 4] = ["norte", "sur", "puerto", "rel"];
@@ -18,7 +18,7 @@
 }
 
 /// Workers that are there, by failure domain and whether they may be reclaimed.
-type Workers = BTreeMap<(Arc<str>, bool), Seen>;
+type Workers = BTreeMap<(Arc<str>, bool), WorkerCounts>;
 
 struct Platform {
     now_ms: u64,
@@ -28,13 +28,14 @@
     /// Those that start, with the time at which they are there.
     starting: Vec<(u64, (Arc<str>, bool), u32)>,
     has_none: bool,
-    orders: Vec<(u64, Order)>,
-    filled: f64,
+    orders: Vec<(u64, WorkerOrder)>,
+    demand_workers: f64,
 }
 
 impl Platform {
     fn new(spot_price: f64, each: u32) -> Platform {
-        let there = ZONES.map(|zone| ((Arc::from(zone), false), Seen { ready: each, leaving: 0 }));
+        let there =
+            ZONES.map(|zone| ((Arc::from(zone), false), WorkerCounts { ready: each, leaving: 0 }));
         Platform {
             now_ms: 1_000,
             terms: terms(spot_price),
@@ -43,7 +44,7 @@
             starting: Vec::new(),
             has_none: false,
             orders: Vec::new(),
-            filled: 0.0,
+            demand_workers: 0.0,
         }
     }
 
@@ -53,13 +54,13 @@
             self.now_ms += STEP_MS;
             self.start_due();
             let service = Arc::from("plan");
-            let known = Known {
+            let state = ServiceState {
                 service: &service,
-                terms: &self.terms,
+                policy: &self.terms,
                 workers: &self.workers,
-                filled: self.filled,
+                demand_workers: self.demand_workers,
             };
-            for order in self.scaler.step(&known, self.now_ms) {
+            for order in self.scaler.step(&state, self.now_ms) {
                 self.take(order);
             }
         }
@@ -74,13 +75,13 @@
         }
     }
 
-    fn take(&mut self, order: Order) {
+    fn take(&mut self, order: WorkerOrder) {
         self.orders.push((self.now_ms, order.clone()));
-        if self.has_none && order.subject.is_spot {
-            return self.scaler.note_none_left(&order, self.now_ms);
+        if self.has_none && order.group.is_spot {
+            return self.scaler.note_no_capacity(&order, self.now_ms);
         }
         self.scaler.note_sent(&order, true, self.now_ms);
-        let key = (Arc::clone(&order.subject.domain), order.subject.is_spot);
+        let key = (Arc::clone(&order.group.domain), order.group.is_spot);
         let there = self.workers.entry(key.clone()).or_default();
         let starting: u32 = self
             .starting
@@ -105,7 +106,7 @@
     }
 
     fn lose(&mut self, zone: &str) {
-        self.workers.insert((Arc::from(zone), true), Seen::default());
+        self.workers.insert((Arc::from(zone), true), WorkerCounts::default());
     }
 }
 
@@ -138,12 +139,12 @@
     let mut platform = Platform::new(0.2, 20);
     platform.play(10_000);
     platform.has_none = true;
-    let leaving = Seen { ready: 0, leaving: 19 };
+    let leaving = WorkerCounts { ready: 0, leaving: 19 };
     platform.workers.insert((Arc::from("sur"), true), leaving);
     platform.play(STEP_MS);
-    let ordered: Vec<&Order> = platform.orders.iter().map(|(_, order)| order).collect();
+    let ordered: Vec<&WorkerOrder> = platform.orders.iter().map(|(_, order)| order).collect();
     let last = ordered.last().unwrap();
-    assert_eq!((&*last.subject.domain, last.subject.is_spot, last.desired), ("sur", false, 20));
+    assert_eq!((&*last.group.domain, last.group.is_spot, last.desired), ("sur", false, 20));
     platform.lose("sur");
     platform.play(BOOT_MS + 1_000);
     assert_eq!(platform.ready("sur", false), 20);
@@ -160,7 +161,7 @@
     let orders = platform.orders.len();
     platform.lose("rel");
     platform.play(4_000);
-    platform.workers.insert((Arc::from("rel"), true), Seen { ready: 19, leaving: 0 });
+    platform.workers.insert((Arc::from("rel"), true), WorkerCounts { ready: 19, leaving: 0 });
     platform.play(10_000);
     assert_eq!(platform.orders.len(), orders);
 }
@@ -168,15 +169,15 @@
 #[test]
 fn demand_raises_the_number_at_once_and_lowers_it_slowly() {
     let mut platform = Platform::new(1.0, 20);
-    platform.filled = 60.0;
+    platform.demand_workers = 60.0;
     platform.play(BOOT_MS + 1_000);
     assert_eq!(platform.all(), 134, "of 60 filled, at 45 in a hundred");
-    platform.filled = 10.0;
+    platform.demand_workers = 10.0;
     platform.play(10_000);
     assert_eq!(platform.all(), 134);
     platform.play(15_000);
     assert_eq!(platform.all(), 23);
-    platform.filled = 1_000.0;
+    platform.demand_workers = 1_000.0;
     platform.play(BOOT_MS + 1_000);
     assert_eq!(platform.all(), 4 * 48, "no more than the bound");
 }
