--- a/src/gateway/control/quarantine.rs
+++ b/src/gateway/control/quarantine.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use super::super::crash::{Crash, CrashRecord, EndedUnder};
+use super::super::crash::{Crash, CrashRecord, EarlyCrash};
 use super::super::fingerprint::Fingerprint;
 use super::super::membership::{Message, Rumor};
 use super::super::policy::quarantine::{Judgement, QUARANTINE_MS};
@@ -20,8 +20,8 @@
     /// Takes in what is reported, and judges it when peers have told what else ended.
     pub(super) async fn keep_quarantine(self: Rc<Control>) {
         loop {
-            let settles_ms = self.board.borrow().quarantine.settles_ms();
-            let left_ms = settles_ms.map(|at_ms| at_ms.saturating_sub(self.clock.now_ms()));
+            let next_judgement_ms = self.board.borrow().quarantine.next_judgement_ms();
+            let left_ms = next_judgement_ms.map(|at_ms| at_ms.saturating_sub(self.clock.now_ms()));
             tokio::select! {
                 () = self.shared.reported.notified() => {}
                 () = sleep_or_wait(left_ms) => {}
@@ -38,7 +38,7 @@
     /// Has peers hear which upstreams ended under runs that had just begun.
     fn tell_ends(&self) {
         let mut board = self.board.borrow_mut();
-        for end in board.quarantine.take_ends() {
+        for end in board.quarantine.take_early_crashes() {
             board.membership.tell(Rumor::Ended(end));
         }
         drop(board);
@@ -46,10 +46,10 @@
     }
 
     /// Takes in such an end from a peer; the others hear of it if it is news.
-    pub(super) fn hear_end(&self, end: EndedUnder, now_ms: u64) {
+    pub(super) fn hear_end(&self, end: EarlyCrash, now_ms: u64) {
         let mut board = self.board.borrow_mut();
         let Some(upstream) = board.fleet.upstreams.get(&end.upstream).cloned() else { return };
-        if board.quarantine.hear_end(&upstream, end.fingerprint, now_ms) {
+        if board.quarantine.note_early_crash(&upstream, end.fingerprint, now_ms) {
             board.membership.tell(Rumor::Ended(end));
             drop(board);
             self.rumors.notify_one();
@@ -85,7 +85,7 @@
         let now_ms = self.clock.now_ms();
         let mut board = self.board.borrow_mut();
         let Board { quarantine, fleet, .. } = &mut *board;
-        let settled = quarantine.settle(&fleet.upstreams, now_ms);
+        let settled = quarantine.judge_pending(&fleet.upstreams, now_ms);
         drop(board);
         for (crash, judgement) in settled {
             self.log_crash(&crash, judgement);
@@ -140,7 +140,7 @@
     /// Takes in what others know of a request. Whether it is quarantined here by that.
     pub(super) fn take_crashes(&self, told: CrashRecord, from: &'static str) -> bool {
         let fingerprint = told.fingerprint;
-        let is_new = self.board.borrow_mut().quarantine.hear(told, self.clock.now_ms());
+        let is_new = self.board.borrow_mut().quarantine.merge_record(told, self.clock.now_ms());
         if is_new {
             self.log_quarantined(fingerprint, from);
         }
@@ -152,7 +152,7 @@
     fn tell_quarantine_news(&self) {
         let now_ms = self.clock.now_ms();
         let mut board = self.board.borrow_mut();
-        let news = board.quarantine.take_news(now_ms);
+        let news = board.quarantine.take_updates(now_ms);
         if news.is_empty() {
             return;
         }
@@ -166,7 +166,7 @@
     /// Tells a part of everything to some.
     pub(super) fn tell_quarantine(&self, addrs: &[SocketAddr]) {
         let now_ms = self.clock.now_ms();
-        let part = self.board.borrow_mut().quarantine.next_part(now_ms);
+        let part = self.board.borrow_mut().quarantine.next_sync_batch(now_ms);
         if !part.is_empty() {
             let rumors = part.into_iter().map(Rumor::Crashes).collect();
             self.send(&Message::Rumors(rumors), addrs);
--- a/src/gateway/crash.rs
+++ b/src/gateway/crash.rs
@@ -32,10 +32,10 @@
     pub at_ms: u64,
 }
 
-/// The end of an upstream under a run that had just started, as instances report it to each other
-/// before it is judged.
+/// An early crash: the end of an upstream under a run that had just started, as instances report it
+/// to each other before it is judged.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct EndedUnder {
+pub struct EarlyCrash {
     /// The upstream.
     pub upstream: Arc<str>,
     /// The request.
--- a/src/gateway/membership/rumors.rs
+++ b/src/gateway/membership/rumors.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::super::crash::{CrashRecord, EndedUnder};
+use super::super::crash::{CrashRecord, EarlyCrash};
 use super::super::fingerprint::Fingerprint;
 use super::super::fleet::Upstream;
 use super::card::{Card, Standing};
@@ -39,7 +39,7 @@
     /// An engine was found at its address while the directory is silent.
     Found(Upstream),
     /// An upstream ended under a run that had just begun.
-    Ended(EndedUnder),
+    Ended(EarlyCrash),
     /// A request crashed upstreams, or was cleared.
     Crashes(CrashRecord),
 }
@@ -50,7 +50,7 @@
     Member(Arc<str>),
     Lost(Arc<str>),
     Found(Arc<str>),
-    Ended(EndedUnder),
+    Ended(EarlyCrash),
     Crashes(Fingerprint),
 }
 
--- a/src/gateway/policy/quarantine.rs
+++ b/src/gateway/policy/quarantine.rs
@@ -11,7 +11,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use super::super::crash::{Crash, CrashRecord, EndedUnder, Stage};
+use super::super::crash::{Crash, CrashRecord, EarlyCrash, Stage};
 use super::super::fingerprint::Fingerprint;
 use super::super::fleet::Upstream;
 use super::coincidence::{Ends, SETTLE_MS};
@@ -19,7 +19,7 @@
 /// Crashes of just-started runs after which a request is quarantined. With two, an innocent request
 /// that lost one upstream to a poison request, and was retried on the same next upstream, would be
 /// quarantined as well.
-const CRASHES: u32 = 3;
+const MAX_CRASHES: u32 = 3;
 /// Points for a crash when the run had just started.
 const BEGUN_POINTS: u32 = 2;
 /// Points for a crash while the request was queued or its prompt was being processed. Most such
@@ -27,30 +27,30 @@
 /// repeatedly.
 const WAITING_POINTS: u32 = 1;
 /// Points at which a request is quarantined.
-const QUARANTINE_POINTS: u32 = CRASHES * BEGUN_POINTS;
+const QUARANTINE_POINTS: u32 = MAX_CRASHES * BEGUN_POINTS;
 /// Number of events up to which a lost run counts as just started.
-const FEW_EVENTS: u64 = 3;
+const MAX_BEGUN_EVENTS: u64 = 3;
 /// Time after the response head within which a lost run counts as just started, whatever its number
 /// of events: a fast engine produces several before it crashes.
-const BEGUN_MS: u64 = 250;
+const MAX_BEGUN_MS: u64 = 250;
 /// Number of events past the last crash that clear a run: it got past the point at which it was
 /// suspected of crashing upstreams.
-pub const CLEARING_EVENTS: u64 = 8;
+pub const MIN_CLEARING_EVENTS: u64 = 8;
 
 /// How long a request stays quarantined, and how long crashes are kept of a request that isn't.
 pub const QUARANTINE_MS: u64 = 10 * 60_000;
 /// Maximum number of crash records; beyond it, the one with the fewest points is evicted.
-const MOST_RECORDS: usize = 512;
+const MAX_RECORDS: usize = 512;
 /// Maximum number of crashes waiting to be judged.
-const MOST_UNSETTLED: usize = 1_024;
+const MAX_PENDING: usize = 1_024;
 /// Maximum number of early crashes queued for peers: when a failure domain loses power, each
 /// instance has only a few such runs there.
-const MOST_ENDS_TOLD: usize = 16;
+const MAX_UNSENT_EARLY_CRASHES: usize = 16;
 /// Maximum number of records in one sync batch.
-const MOST_TOLD: usize = 16;
+const MAX_BATCH_RECORDS: usize = 16;
 /// A received quarantine end replaces the known one only if it is later by more than this; smaller
 /// differences are message delay.
-const TOLD_LATE_MS: u64 = 2_000;
+const MAX_MESSAGE_DELAY_MS: u64 = 2_000;
 
 /// Returns the stage of a stream that was lost at an upstream, given the time since the response
 /// head (`None` if it had not arrived) and the number of events since. Returns `None` for a run
@@ -58,7 +58,9 @@
 pub fn stage_of_stream(answered_ms: Option<u64>, events: u64) -> Option<Stage> {
     match answered_ms {
         None => Some(Stage::Waiting),
-        Some(answered_ms) if events <= FEW_EVENTS || answered_ms <= BEGUN_MS => Some(Stage::Begun),
+        Some(answered_ms) if events <= MAX_BEGUN_EVENTS || answered_ms <= MAX_BEGUN_MS => {
+            Some(Stage::Begun)
+        }
         Some(_) => None,
     }
 }
@@ -73,7 +75,7 @@
 
 /// Returns whether one more crash may quarantine a request with so many points. Such a request
 /// should not be sent anywhere before its pending crashes are judged.
-pub fn may_follow(points: u32) -> bool {
+pub fn may_quarantine(points: u32) -> bool {
     points + BEGUN_POINTS >= QUARANTINE_POINTS
 }
 
@@ -95,7 +97,7 @@
         self.crashes.values().map(|stage| points(*stage)).sum()
     }
 
-    fn is_over(&self, now_ms: u64) -> bool {
+    fn is_expired(&self, now_ms: u64) -> bool {
         self.until_ms.unwrap_or(self.changed_ms + QUARANTINE_MS) <= now_ms
     }
 }
@@ -129,22 +131,22 @@
 #[derive(Debug, Default)]
 pub struct Quarantine {
     records: BTreeMap<Fingerprint, Record>,
-    unsettled: Vec<Crash>,
+    pending: Vec<Crash>,
     ends: Ends,
     /// Incremented on each change of `records`.
     version: u64,
     /// Fingerprints whose records have changed and must be sent to peers.
-    news: Vec<Fingerprint>,
+    unsent_records: Vec<Fingerprint>,
     /// Early crashes, which peers must receive before any instance judges its own.
-    ends_news: Vec<EndedUnder>,
+    unsent_early_crashes: Vec<EarlyCrash>,
     /// Last fingerprint of the previous sync batch; the next batch continues after it.
-    told_to: Option<Fingerprint>,
+    sync_cursor: Option<Fingerprint>,
 }
 
 impl Quarantine {
     /// Returns whether there are neither records nor crashes waiting to be judged.
     pub fn is_empty(&self) -> bool {
-        self.records.is_empty() && self.unsettled.is_empty()
+        self.records.is_empty() && self.pending.is_empty()
     }
 
     /// Incremented on each change of [`suspects`](Quarantine::suspects).
@@ -158,63 +160,69 @@
     }
 
     /// Records a peer's report of an early crash. Returns whether it is new.
-    pub fn hear_end(&mut self, upstream: &Upstream, fingerprint: Fingerprint, now_ms: u64) -> bool {
+    pub fn note_early_crash(
+        &mut self,
+        upstream: &Upstream,
+        fingerprint: Fingerprint,
+        now_ms: u64,
+    ) -> bool {
         self.ends.note_under(upstream, fingerprint, now_ms)
     }
 
     /// Takes the early crashes to be sent to peers at once: a request that is sent through several
     /// instances at the same time would otherwise look like a common cause of all the upstreams
     /// that end.
-    pub fn take_ends(&mut self) -> Vec<EndedUnder> {
-        std::mem::take(&mut self.ends_news)
+    pub fn take_early_crashes(&mut self) -> Vec<EarlyCrash> {
+        std::mem::take(&mut self.unsent_early_crashes)
     }
 
-    /// Records that an upstream has ended under a request. [`settle`](Quarantine::settle) judges
-    /// the crash a moment later. Two attempts at one upstream count once.
+    /// Records that an upstream has ended under a request.
+    /// [`judge_pending`](Quarantine::judge_pending) judges the crash a moment later. Two attempts at
+    /// one upstream count once.
     pub fn note_crash(&mut self, crash: Crash) {
         let Crash { fingerprint, upstream, .. } = &crash;
         self.ends.note(upstream, crash.at_ms);
         let is_new = crash.stage == Stage::Begun
             && self.ends.note_under(upstream, *fingerprint, crash.at_ms);
-        if is_new && self.ends_news.len() < MOST_ENDS_TOLD {
+        if is_new && self.unsent_early_crashes.len() < MAX_UNSENT_EARLY_CRASHES {
             let upstream = Arc::clone(&upstream.id);
-            self.ends_news.push(EndedUnder { upstream, fingerprint: *fingerprint });
+            self.unsent_early_crashes.push(EarlyCrash { upstream, fingerprint: *fingerprint });
         }
         let is_same = |other: &&mut Crash| {
             other.fingerprint == *fingerprint && other.upstream.id == upstream.id
         };
-        if let Some(known) = self.unsettled.iter_mut().find(is_same) {
+        if let Some(known) = self.pending.iter_mut().find(is_same) {
             known.stage = known.stage.max(crash.stage);
             return;
         }
-        if self.unsettled.len() < MOST_UNSETTLED {
-            self.unsettled.push(crash);
+        if self.pending.len() < MAX_PENDING {
+            self.pending.push(crash);
         }
     }
 
     /// Returns when the next crash is due to be judged.
-    pub fn settles_ms(&self) -> Option<u64> {
-        self.unsettled.iter().map(|crash| crash.at_ms + SETTLE_MS).min()
+    pub fn next_judgement_ms(&self) -> Option<u64> {
+        self.pending.iter().map(|crash| crash.at_ms + SETTLE_MS).min()
     }
 
     /// Judges the crashes that have waited long enough, given the known upstreams. Returns each
     /// with its judgement.
-    pub fn settle(
+    pub fn judge_pending(
         &mut self,
         upstreams: &BTreeMap<Arc<str>, Upstream>,
         now_ms: u64,
     ) -> Vec<(Crash, Judgement)> {
         let is_due = |crash: &mut Crash| crash.at_ms + SETTLE_MS <= now_ms;
-        let due: Vec<Crash> = self.unsettled.extract_if(.., is_due).collect();
-        let judged: Vec<bool> =
+        let due: Vec<Crash> = self.pending.extract_if(.., is_due).collect();
+        let are_coincident: Vec<bool> =
             due.iter().map(|crash| self.is_coincident(crash, &due, upstreams)).collect();
-        let mut settled = Vec::new();
-        for (crash, is_coincident) in due.into_iter().zip(judged) {
+        let mut judgements = Vec::new();
+        for (crash, is_coincident) in due.into_iter().zip(are_coincident) {
             let judgement =
                 if is_coincident { Judgement::Coincident } else { self.count(&crash, now_ms) };
-            settled.push((crash, judgement));
+            judgements.push((crash, judgement));
         }
-        settled
+        judgements
     }
 
     /// Returns whether a crash has a common cause with the ends of other upstreams. Upstreams that
@@ -231,20 +239,20 @@
         let is_own = |id: &str| {
             let record = self.records.get(&crash.fingerprint);
             record.is_some_and(|record| record.crashes.contains_key(id))
-                || self.unsettled.iter().chain(due).any(|other| is_same(other, id))
+                || self.pending.iter().chain(due).any(|other| is_same(other, id))
         };
         self.ends.is_coincident(crash, is_own, upstreams)
     }
 
     fn count(&mut self, crash: &Crash, now_ms: u64) -> Judgement {
-        self.make_room(crash.fingerprint);
+        self.evict_if_full(crash.fingerprint);
         let record = self.records.entry(crash.fingerprint).or_default();
         let stage = record.crashes.entry(Arc::clone(&crash.upstream.id)).or_insert(crash.stage);
         *stage = crash.stage.max(*stage);
         record.event = record.event.max(crash.event);
         record.changed_ms = now_ms;
         self.note_change(crash.fingerprint);
-        if self.judge(crash.fingerprint, now_ms) {
+        if self.quarantine_if_due(crash.fingerprint, now_ms) {
             Judgement::Quarantined
         } else {
             Judgement::Counted
@@ -252,7 +260,7 @@
     }
 
     /// Quarantines a request that has enough points. Returns whether that is new.
-    fn judge(&mut self, fingerprint: Fingerprint, now_ms: u64) -> bool {
+    fn quarantine_if_due(&mut self, fingerprint: Fingerprint, now_ms: u64) -> bool {
         let Some(record) = self.records.get_mut(&fingerprint) else { return false };
         let is_new = record.until_ms.is_none() && record.points() >= QUARANTINE_POINTS;
         if is_new {
@@ -264,9 +272,10 @@
     /// Clears a request that was served: completely if `event` is `None`, otherwise if it got far
     /// enough past the last crash.
     pub fn clear_served(&mut self, fingerprint: Fingerprint, event: Option<u64>, now_ms: u64) {
-        let is_beyond = |crashed: u64| event.is_none_or(|event| event >= crashed + CLEARING_EVENTS);
+        let is_beyond =
+            |crashed: u64| event.is_none_or(|event| event >= crashed + MIN_CLEARING_EVENTS);
         let is_served = |crash: &Crash| crash.fingerprint == fingerprint && is_beyond(crash.event);
-        self.unsettled.retain(|crash| !is_served(crash));
+        self.pending.retain(|crash| !is_served(crash));
         if self.records.get(&fingerprint).is_some_and(|record| is_beyond(record.event)) {
             self.clear(fingerprint, now_ms);
         }
@@ -275,7 +284,7 @@
     /// Clears a request unconditionally, at an operator's command. Returns whether it had any
     /// crashes.
     pub fn lift(&mut self, fingerprint: Fingerprint, now_ms: u64) -> bool {
-        self.unsettled.retain(|crash| crash.fingerprint != fingerprint);
+        self.pending.retain(|crash| crash.fingerprint != fingerprint);
         self.clear(fingerprint, now_ms)
     }
 
@@ -293,80 +302,83 @@
 
     /// Merges a record received from a peer. Returns whether the request is newly quarantined here
     /// as a result.
-    pub fn hear(&mut self, told: CrashRecord, now_ms: u64) -> bool {
-        let fingerprint = told.fingerprint;
-        let changed_ms = now_ms.saturating_sub(told.age_ms);
-        let heard = Record {
-            epoch: told.epoch,
-            crashes: told.crashes.into_iter().collect(),
-            event: told.event,
-            until_ms: told.left_ms.map(|left_ms| now_ms + left_ms.min(QUARANTINE_MS)),
+    pub fn merge_record(&mut self, received: CrashRecord, now_ms: u64) -> bool {
+        let fingerprint = received.fingerprint;
+        let changed_ms = now_ms.saturating_sub(received.age_ms);
+        let incoming = Record {
+            epoch: received.epoch,
+            crashes: received.crashes.into_iter().collect(),
+            event: received.event,
+            until_ms: received.left_ms.map(|left_ms| now_ms + left_ms.min(QUARANTINE_MS)),
             changed_ms,
         };
-        if heard.is_over(now_ms) {
+        if incoming.is_expired(now_ms) {
             return false;
         }
         let before = self.records.get(&fingerprint).cloned();
         let merged = match &before {
-            None => heard,
-            Some(known) => merge(known, heard),
+            None => incoming,
+            Some(known) => merge(known, incoming),
         };
         if before.as_ref() == Some(&merged) {
             return false;
         }
         let was_quarantined = before.is_some_and(|known| known.until_ms.is_some());
-        self.make_room(fingerprint);
+        self.evict_if_full(fingerprint);
         self.records.insert(fingerprint, merged);
         self.note_change(fingerprint);
-        self.judge(fingerprint, now_ms);
+        self.quarantine_if_due(fingerprint, now_ms);
         let is_quarantined = self.records[&fingerprint].until_ms.is_some();
         is_quarantined && !was_quarantined
     }
 
     fn note_change(&mut self, fingerprint: Fingerprint) {
         self.version += 1;
-        if !self.news.contains(&fingerprint) {
-            self.news.push(fingerprint);
+        if !self.unsent_records.contains(&fingerprint) {
+            self.unsent_records.push(fingerprint);
         }
     }
 
     /// Evicts the record with the fewest points if one more would exceed the limit; quarantined
     /// requests are evicted last.
-    fn make_room(&mut self, fingerprint: Fingerprint) {
-        if self.records.len() < MOST_RECORDS || self.records.contains_key(&fingerprint) {
+    fn evict_if_full(&mut self, fingerprint: Fingerprint) {
+        if self.records.len() < MAX_RECORDS || self.records.contains_key(&fingerprint) {
             return;
         }
-        let least = self.records.iter().min_by_key(|(_, record)| {
+        let weakest = self.records.iter().min_by_key(|(_, record)| {
             (record.until_ms.is_some(), record.points(), record.changed_ms)
         });
-        let least = least.map(|(fingerprint, _)| *fingerprint);
-        least.and_then(|fingerprint| self.records.remove(&fingerprint));
+        let weakest = weakest.map(|(fingerprint, _)| *fingerprint);
+        weakest.and_then(|fingerprint| self.records.remove(&fingerprint));
     }
 
     /// Removes expired records.
     pub fn forget(&mut self, now_ms: u64) {
         let before = self.records.len();
-        self.records.retain(|_, record| !record.is_over(now_ms));
+        self.records.retain(|_, record| !record.is_expired(now_ms));
         if self.records.len() != before {
             self.version += 1;
         }
     }
 
     /// Takes the records that changed since the last call, to be sent to all peers.
-    pub fn take_news(&mut self, now_ms: u64) -> Vec<CrashRecord> {
-        let news = std::mem::take(&mut self.news);
-        news.into_iter().filter_map(|fingerprint| self.record(fingerprint, now_ms)).collect()
+    pub fn take_updates(&mut self, now_ms: u64) -> Vec<CrashRecord> {
+        let unsent_records = std::mem::take(&mut self.unsent_records);
+        unsent_records
+            .into_iter()
+            .filter_map(|fingerprint| self.record(fingerprint, now_ms))
+            .collect()
     }
 
     /// Returns the next batch of all records, for a peer that may have missed updates.
-    pub fn next_part(&mut self, now_ms: u64) -> Vec<CrashRecord> {
-        let after = self.told_to;
+    pub fn next_sync_batch(&mut self, now_ms: u64) -> Vec<CrashRecord> {
+        let after = self.sync_cursor;
         let is_next = |fingerprint: &&Fingerprint| after.is_none_or(|after| **fingerprint > after);
-        let part: Vec<Fingerprint> =
-            self.records.keys().filter(is_next).take(MOST_TOLD).copied().collect();
+        let batch: Vec<Fingerprint> =
+            self.records.keys().filter(is_next).take(MAX_BATCH_RECORDS).copied().collect();
         // A batch that isn't full is the last one.
-        self.told_to = part.last().copied().filter(|_| part.len() == MOST_TOLD);
-        part.into_iter().filter_map(|fingerprint| self.record(fingerprint, now_ms)).collect()
+        self.sync_cursor = batch.last().copied().filter(|_| batch.len() == MAX_BATCH_RECORDS);
+        batch.into_iter().filter_map(|fingerprint| self.record(fingerprint, now_ms)).collect()
     }
 
     /// Returns whether a request is quarantined.
@@ -402,23 +414,25 @@
 
 /// Merges the records of two instances. The later epoch wins; within one epoch, the result has the
 /// crashes of both and the later quarantine end.
-fn merge(known: &Record, heard: Record) -> Record {
-    if heard.epoch != known.epoch {
-        return if heard.epoch > known.epoch { heard } else { known.clone() };
+fn merge(known: &Record, incoming: Record) -> Record {
+    if incoming.epoch != known.epoch {
+        return if incoming.epoch > known.epoch { incoming } else { known.clone() };
     }
     let mut merged = known.clone();
-    for (id, stage) in heard.crashes {
+    for (id, stage) in incoming.crashes {
         let known = merged.crashes.entry(id).or_insert(stage);
         *known = stage.max(*known);
     }
-    merged.event = merged.event.max(heard.event);
+    merged.event = merged.event.max(incoming.event);
     if merged.crashes != known.crashes {
-        merged.changed_ms = merged.changed_ms.max(heard.changed_ms);
+        merged.changed_ms = merged.changed_ms.max(incoming.changed_ms);
     }
-    merged.until_ms = match (known.until_ms, heard.until_ms) {
+    merged.until_ms = match (known.until_ms, incoming.until_ms) {
         // Each message arrives a little late, which must not prolong the quarantine with every hop.
-        (Some(known_ms), Some(heard_ms)) if heard_ms <= known_ms + TOLD_LATE_MS => Some(known_ms),
-        (known_ms, heard_ms) => known_ms.max(heard_ms),
+        (Some(known_ms), Some(incoming_ms)) if incoming_ms <= known_ms + MAX_MESSAGE_DELAY_MS => {
+            Some(known_ms)
+        }
+        (known_ms, incoming_ms) => known_ms.max(incoming_ms),
     };
     merged
 }
--- a/src/gateway/stream/crashes.rs
+++ b/src/gateway/stream/crashes.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use super::super::policy::quarantine::{self, CLEARING_EVENTS};
+use super::super::policy::quarantine::{self, MIN_CLEARING_EVENTS};
 use super::super::traffic::JUDGED_MS;
 use super::super::worker::Worker;
 use super::{Loss, Outcome, Run, Unjudged, lost};
@@ -43,8 +43,9 @@
 
     /// Reports that the run goes on beyond where engines ended under it.
     pub(super) fn clear_if_beyond_crash(&mut self) {
-        let is_beyond =
-            |crashed: &u64| self.last_event.is_some_and(|event| event >= crashed + CLEARING_EVENTS);
+        let is_beyond = |crashed: &u64| {
+            self.last_event.is_some_and(|event| event >= crashed + MIN_CLEARING_EVENTS)
+        };
         if self.crashed_at.take_if(|crashed| is_beyond(crashed)).is_some() {
             self.crashes.clear();
             self.traffic.note_served(&self.job, self.last_event);
--- a/src/gateway/traffic/quarantine.rs
+++ b/src/gateway/traffic/quarantine.rs
@@ -54,7 +54,7 @@
     /// Whether one more crash may quarantine a request, beside `points` of crashes that are not judged.
     pub fn may_be_quarantined(&self, job: &Job, points: u32) -> bool {
         let known = self.suspect(job).unwrap_or_default().points;
-        quarantine::may_follow(known + points)
+        quarantine::may_quarantine(known + points)
     }
 
     /// Reports that an upstream broke off under a request, if its process turns out to have ended. One
--- a/tests/gateway/suspicion.rs
+++ b/tests/gateway/suspicion.rs
@@ -44,7 +44,7 @@
 /// One crash, judged; whether the request is quarantined after it.
 fn crashes(known: &mut Quarantine, fingerprint: Fingerprint, number: usize, at_ms: u64) -> bool {
     known.note_crash(crash(fingerprint, number, Stage::Begun, at_ms));
-    known.settle(&engines(), at_ms + SETTLE_MS);
+    known.judge_pending(&engines(), at_ms + SETTLE_MS);
     is_quarantined(known, fingerprint)
 }
 
@@ -54,8 +54,8 @@
 
 /// Tells everything that one knows to another.
 fn tell(from: &mut Quarantine, to: &mut Quarantine, now_ms: u64) {
-    for told in from.next_part(now_ms) {
-        to.hear(told, now_ms);
+    for told in from.next_sync_batch(now_ms) {
+        to.merge_record(told, now_ms);
     }
 }
 
@@ -111,7 +111,7 @@
         }
         let number = ended[loss as usize % ended.len()];
         known.note_crash(crash(unlucky, number, Stage::Begun, at_ms));
-        let judged = known.settle(&engines(), at_ms + SETTLE_MS);
+        let judged = known.judge_pending(&engines(), at_ms + SETTLE_MS);
         assert_eq!(judged[0].1, Judgement::Coincident);
     }
     assert!(known.suspects().is_empty());
@@ -125,7 +125,7 @@
     for number in 0..6 {
         known.note_crash(crash(poison, number, Stage::Begun, 1_000 + 50 * number as u64));
     }
-    known.settle(&engines(), 2_000);
+    known.judge_pending(&engines(), 2_000);
     assert!(is_quarantined(&known, poison));
 }
 
@@ -139,14 +139,14 @@
     let mut ends = Vec::new();
     for (number, instance) in instances.iter_mut().enumerate() {
         instance.note_crash(crash(poison, number, Stage::Begun, 1_000));
-        ends.extend(instance.take_ends());
+        ends.extend(instance.take_early_crashes());
     }
     let all = engines();
     for instance in &mut instances {
         for end in &ends {
-            instance.hear_end(&all[&end.upstream], end.fingerprint, 1_100);
+            instance.note_early_crash(&all[&end.upstream], end.fingerprint, 1_100);
         }
-        let judged = instance.settle(&all, 1_000 + SETTLE_MS);
+        let judged = instance.judge_pending(&all, 1_000 + SETTLE_MS);
         assert_eq!(judged[0].1, Judgement::Counted);
     }
     let (first, others) = instances.split_first_mut().unwrap();
@@ -162,11 +162,11 @@
     for number in 0..5 {
         let at_ms = 1_000 * (number as u64 + 1);
         known.note_crash(crash(waiting, number, Stage::Waiting, at_ms));
-        known.settle(&engines(), at_ms + SETTLE_MS);
+        known.judge_pending(&engines(), at_ms + SETTLE_MS);
         assert!(!is_quarantined(&known, waiting));
     }
     known.note_crash(crash(waiting, 5, Stage::Waiting, 9_000));
-    known.settle(&engines(), 9_000 + SETTLE_MS);
+    known.judge_pending(&engines(), 9_000 + SETTLE_MS);
     assert!(is_quarantined(&known, waiting), "one that ends engines while they read its prompt");
 }
 
@@ -209,7 +209,7 @@
     let poison = request("poison");
     let at = |number, at_ms| Crash { event: 100, ..crash(poison, number, Stage::Begun, at_ms) };
     known.note_crash(at(0, 1_000));
-    known.settle(&engines(), 1_000 + SETTLE_MS);
+    known.judge_pending(&engines(), 1_000 + SETTLE_MS);
     known.clear_served(poison, Some(100), 2_000);
     assert_eq!(known.suspects()[&poison].crashes, 1);
 }
@@ -241,13 +241,13 @@
     for round in 0..500 {
         let now_ms = 2_000 + 350 * round;
         // Each message takes 100 ms.
-        let told = here.next_part(now_ms);
+        let told = here.next_sync_batch(now_ms);
         for told in told {
-            there.hear(told, now_ms + 100);
+            there.merge_record(told, now_ms + 100);
         }
-        let told = there.next_part(now_ms + 200);
+        let told = there.next_sync_batch(now_ms + 200);
         for told in told {
-            here.hear(told, now_ms + 300);
+            here.merge_record(told, now_ms + 300);
         }
     }
     assert_eq!(here.suspects()[&poison].until_ms, Some(until_ms));
@@ -284,7 +284,7 @@
     }
     assert!(known.suspects().len() <= MOST);
     assert!(is_quarantined(&known, poison));
-    let told = known.next_part(4_000_000);
+    let told = known.next_sync_batch(4_000_000);
     assert!(told.len() <= 16 && rmp_serde::to_vec(&told).unwrap().len() < 4_096);
 }
 
