--- a/tests/gateway/quarantine.rs
+++ b/tests/gateway/quarantine.rs
@@ -1,18 +1,20 @@
-//! A request that crashes whatever runs it is kept from all upstreams; those beside it are served.
+//! A request that crashes each engine that runs it is kept from all upstreams; requests that share
+//! those engines are served.
 //!
-//! Engines of one service ended one after the other, most of them several times within two minutes.
-//! Callers of long streams saw theirs pause over and over, and in the worst seconds more than half of
-//! them failed. One stream was sent to an engine, the head of its answer came, and within 110 ms the
-//! engine's process ended. Its instance went on with it at the next engine, 23 times until its caller
-//! left, and the caller came again, under another id and to other instances.
+//! Guards against the following failure. Engines of one service crashed one after the other, most
+//! of them several times within two minutes. Long streams paused over and over, and in the worst
+//! seconds more than half of them failed. One stream was sent to an engine, the response head
+//! arrived, and within 110 ms the engine's process ended. The instance resumed the stream at the
+//! next engine, 23 times until the caller disconnected; the caller then retried under another
+//! request id at other instances.
 //!
-//! Two causes. An engine that ends by itself was taken out of the count of attempts, so that a stream
-//! outlives any number of power losses; nothing asked who had ended it. And what an instance learned
-//! of a request went with that request.
+//! There were two causes. An engine that ended by itself didn't count as an attempt, so that a
+//! stream survives any number of power losses, and nothing checked whether the request had caused
+//! the end. And what an instance learned about a request was dropped with that request.
 //!
-//! Evidence: 23 lines `engine lost` of one request that never had an event, on a route that allows five
-//! attempts; `nothing listens there` for each of these engines; and requests of one fingerprint under
-//! different ids, each with such a series.
+//! The logs had 23 lines `engine lost` of one request that never had an event, on a route that
+//! allows five attempts; `nothing listens there` for each of these engines; and requests with one
+//! fingerprint under different ids, each with such a series.
 
 use std::time::{Duration, Instant};
 
@@ -24,16 +26,17 @@
 
 use crate::support::{self, Running, call, plan, whole_text};
 
-/// What a request says that ends each engine that runs it.
+/// Request body that crashes each engine that runs it.
 const POISON: &[u8] = b"a body that ends each engine that runs it";
-/// Engines that a request may end until it is known: with fewer, others could be to blame.
+/// Number of engines that a request may crash before it is quarantined; with fewer, another request
+/// could be the cause.
 const MOST_CRASHES: usize = 3;
-/// How long a request that is known may wait for its answer: no attempt of it takes less.
+/// Time limit for the refusal of a quarantined request: no attempt takes less.
 const AT_ONCE: Duration = Duration::from_millis(50);
-/// In which time all instances know of it.
+/// Time within which all instances learn of a quarantine.
 const NEWS: Duration = Duration::from_secs(1);
 
-/// Twelve engines that end when they run the poison, before so many gateways.
+/// Starts so many gateways in front of twelve engines that crash when they run the poison request.
 async fn start(gateways: u8) -> Running {
     let site = Site::start(4, 15).await;
     site.engines.iter().for_each(|engine| engine.crash_on(POISON));
@@ -49,21 +52,21 @@
         self.site.engines.iter().filter(|engine| engine.process.has_crashed()).count()
     }
 
-    /// Sends it again to an instance, which refuses it at once.
+    /// Sends the request again, with a new id, to an instance, which must refuse it at once.
     async fn refuses_at_once(&self, instance: usize, sent: &Call) {
         let crashed = self.crashed();
         let again = Call { id: support::new_id(), ..sent.clone() };
         let since = Instant::now();
         let answer = caller::send(self.front(instance), &again).await.unwrap();
         assert!(since.elapsed() < AT_ONCE, "refused after {:?}", since.elapsed());
-        assert_eq!(answer.status(), 503, "it has not run this time");
+        assert_eq!(answer.status(), 503, "a refused request is not executed");
         let after: f64 = answer.header("retry-after").unwrap().parse().unwrap();
-        assert!(after > 60.0, "it is told to come back when it may be served: {after}");
+        assert!(after > 60.0, "Retry-After lasts until the quarantine ends: {after}");
         assert!(String::from_utf8_lossy(&answer.body).contains("quarantine"));
-        assert_eq!(self.crashed(), crashed, "no upstream ended when it came again");
+        assert_eq!(self.crashed(), crashed, "the refused request crashed no upstream");
     }
 
-    /// The engine that makes events of a stream, once it has made so many.
+    /// Returns the index of the live engine that runs a stream, once it has made so many events.
     async fn runs_at(&self, sent: &Call, events: u64) -> usize {
         let engines = &self.site.engines;
         let runs = |index: &usize| {
@@ -78,7 +81,8 @@
     }
 }
 
-/// It comes to one instance, then again to each; streams of others run at the same engines.
+/// The request comes to one instance, then again to each, while other streams run at the same
+/// engines.
 #[tokio::test]
 async fn a_request_that_crashes_engines_is_stopped_for_all_instances() {
     let running = start(3).await;
@@ -86,20 +90,23 @@
     let reading: Vec<_> = others.iter().map(|sent| running.read_stream(sent)).collect();
     let sent = poison();
     let _ = caller::stream(running.front(0), &sent).await;
-    assert!(running.crashed() <= MOST_CRASHES, "{} engines ended", running.crashed());
+    assert!(running.crashed() <= MOST_CRASHES, "{} engines crashed", running.crashed());
     tokio::time::sleep(NEWS).await;
     for instance in 0..3 {
         running.refuses_at_once(instance, &sent).await;
     }
     for (sent, stream) in others.iter().zip(reading) {
         let stream = stream.await.unwrap().unwrap();
-        assert!(stream.is_complete, "a stream that shared an engine with it is served");
+        assert!(
+            stream.is_complete,
+            "a stream that shared an engine with the poison request is served"
+        );
         assert_eq!(stream.text, whole_text(sent, 0));
     }
 }
 
-/// It comes to all instances in the same moment: each ends two engines at the most before they have
-/// told each other.
+/// The request comes to all instances at the same moment: each crashes two engines at most before
+/// they have informed each other.
 #[tokio::test]
 async fn a_request_that_comes_to_all_instances_at_once_is_stopped() {
     const CRASHES_EACH: usize = 2;
@@ -113,15 +120,15 @@
     let [first, second, third] = attempts;
     let _ = tokio::join!(first, second, third);
     let crashed = running.crashed();
-    assert!(crashed <= 3 * CRASHES_EACH, "{crashed} engines ended");
+    assert!(crashed <= 3 * CRASHES_EACH, "{crashed} engines crashed");
     tokio::time::sleep(NEWS).await;
     for instance in 0..3 {
         running.refuses_at_once(instance, &sent).await;
     }
 }
 
-/// Its caller gives up after each crash and comes to the next instance: what one of them knows would
-/// never suffice.
+/// The caller gives up after each crash and retries at the next instance, so that no single
+/// instance sees enough crashes.
 #[tokio::test]
 async fn a_request_that_comes_from_instance_to_instance_is_stopped() {
     let running = start(3).await;
@@ -134,7 +141,7 @@
     assert_eq!(running.crashed(), MOST_CRASHES);
 }
 
-/// An instance that starts later knows it before callers come to it.
+/// An instance that starts later learns of the quarantine before callers reach it.
 #[tokio::test]
 async fn an_instance_that_starts_later_knows_it() {
     let mut running = start(2).await;
@@ -146,7 +153,8 @@
     running.refuses_at_once(2, &sent).await;
 }
 
-/// An instance that stood still while the others learned of it knows it soon after.
+/// An instance that was suspended while the others learned of the quarantine learns of it soon
+/// after it resumes.
 #[tokio::test]
 async fn an_instance_that_stood_still_knows_it() {
     const STOOD_STILL: Duration = Duration::from_secs(4);
@@ -160,8 +168,8 @@
     running.refuses_at_once(2, &sent).await;
 }
 
-/// Calls are stopped as streams are: one that may be repeated ends two services, and the third one when
-/// it comes again.
+/// Calls are quarantined as streams are: a repeatable call crashes two services, and the third one
+/// when it is sent again.
 #[tokio::test]
 async fn a_call_that_crashes_services_is_stopped() {
     let mut running = support::start(2).await;
@@ -170,7 +178,7 @@
     for instance in [0, 1] {
         let again = Call { id: support::new_id(), ..sent.clone() };
         let answer = caller::send(running.front(instance), &again).await.unwrap();
-        assert_eq!(answer.status(), 502, "it has run");
+        assert_eq!(answer.status(), 502, "the call was executed");
         tokio::time::sleep(NEWS).await;
     }
     let services = 0..running.site.services.len();
@@ -193,11 +201,11 @@
     assert!(!running.site.services.iter().any(|service| service.process.has_crashed()));
 }
 
-/// Engines end under a stream again and again, each after it has run there for a while: it has crashed
-/// nothing, and is served whole.
+/// A stream repeatedly loses its engine, each time after it has run there for a while: it didn't
+/// cause the crashes, and is served completely.
 #[tokio::test]
 async fn a_stream_that_loses_many_engines_is_served() {
-    // Four events take twice the time within which a run has just begun.
+    // Four events take twice the time within which a run counts as just started.
     const STEP_MS: u64 = 120;
     let running = support::start_site(Site::start(4, STEP_MS).await, 1).await;
     let sent = plan();
@@ -212,8 +220,8 @@
     assert!(!running.gateways[0].logged().contains("request quarantined"));
 }
 
-/// All instances end at once, and nobody is left who could tell: the directory remembers, whether one
-/// instance saw all crashes or each saw one.
+/// All instances end at once, so that none is left to inform the others: the directory keeps the
+/// quarantine, whether one instance saw all crashes or each saw one.
 #[parameterized(
     seen_by_one = { &[0], 10_000 },
     seen_by_three = { &[0, 1, 2], 200 },
@@ -236,7 +244,8 @@
     }
 }
 
-/// The upstreams are mended, and an operator has the request served again, through any instance.
+/// After the upstreams are repaired, an operator lifts the quarantine through any instance, and the
+/// request is served.
 #[tokio::test]
 async fn operators_see_it_and_lift_it() {
     let running = start(2).await;
@@ -259,7 +268,7 @@
     assert!(listed.contains("no request is known"), "{listed}");
 }
 
-/// What the command line prints, whichever way it ends.
+/// Returns what the command line prints, whether it succeeds or fails.
 async fn siskinrock(arguments: &[&str]) -> String {
     let binary = env!("CARGO_BIN_EXE_siskinrock");
     let output = tokio::process::Command::new(binary).args(arguments).output().await.unwrap();
