--- a/tests/gateway/scaling.rs
+++ b/tests/gateway/scaling.rs
@@ -1,5 +1,5 @@
-//! How many workers are ordered: pure steps against a platform that starts them, takes them back and has
-//! none at times.
+//! The number of workers ordered: the pure scaler against a simulated platform that starts workers,
+//! reclaims them and runs out of them.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,7 +9,7 @@
 
 const ZONES: [&str; 4] = ["norte", "sur", "puerto", "rel"];
 const BOOT_MS: u64 = 4_000;
-/// How often the holder looks.
+/// Interval between two steps of the scaler.
 const STEP_MS: u64 = 200;
 
 fn terms(spot_price: f64) -> Scaling {
@@ -17,7 +17,7 @@
     Scaling { least: 1, most: 48, boot_ms: BOOT_MS, spot_price, prices: prices.into() }
 }
 
-/// Workers that are there, by failure domain and whether they may be reclaimed.
+/// Worker counts, by failure domain and whether they are spot workers.
 type Workers = BTreeMap<(Arc<str>, bool), WorkerCounts>;
 
 struct Platform {
@@ -25,7 +25,7 @@
     terms: Scaling,
     scaler: Scaler,
     workers: Workers,
-    /// Those that start, with the time at which they are there.
+    /// Workers that are starting, with the time at which they are ready.
     starting: Vec<(u64, (Arc<str>, bool), u32)>,
     has_none: bool,
     orders: Vec<(u64, WorkerOrder)>,
@@ -110,7 +110,7 @@
     }
 }
 
-/// At no moment are fewer there than before.
+/// The number of workers never drops while one kind replaces the other.
 #[test]
 fn workers_that_cost_less_take_the_place_of_others() {
     let mut platform = Platform::new(0.2, 20);
@@ -123,7 +123,7 @@
     }
     let orders = platform.orders.len();
     platform.play(60_000);
-    assert_eq!(platform.orders.len(), orders, "nothing is ordered without need");
+    assert_eq!(platform.orders.len(), orders, "no orders in a steady state");
 }
 
 #[test]
@@ -133,7 +133,8 @@
     assert!(platform.orders.is_empty(), "{:?}", platform.orders);
 }
 
-/// What is reclaimed is ordered as ordinary workers at once, and given back when the others are there.
+/// Reclaimed spot workers are replaced by on-demand workers at once, and these are given back when
+/// spot workers are available again.
 #[test]
 fn reclaimed_workers_are_replaced() {
     let mut platform = Platform::new(0.2, 20);
@@ -153,7 +154,7 @@
     assert_eq!((platform.ready("sur", false), platform.ready("sur", true)), (1, 19));
 }
 
-/// Workers that crash are back within seconds, by themselves.
+/// Workers that crash restart by themselves within seconds.
 #[test]
 fn a_crash_orders_nothing() {
     let mut platform = Platform::new(0.2, 20);
@@ -171,7 +172,7 @@
     let mut platform = Platform::new(1.0, 20);
     platform.demand_workers = 60.0;
     platform.play(BOOT_MS + 1_000);
-    assert_eq!(platform.all(), 134, "of 60 filled, at 45 in a hundred");
+    assert_eq!(platform.all(), 134, "60 full workers at a utilization of 0.45");
     platform.demand_workers = 10.0;
     platform.play(10_000);
     assert_eq!(platform.all(), 134);
@@ -179,10 +180,10 @@
     assert_eq!(platform.all(), 23);
     platform.demand_workers = 1_000.0;
     platform.play(BOOT_MS + 1_000);
-    assert_eq!(platform.all(), 4 * 48, "no more than the bound");
+    assert_eq!(platform.all(), 4 * 48, "limited by the maximum of each failure domain");
 }
 
-/// A holder that takes over in the middle of a change orders what the one before did.
+/// A holder that takes over in the middle of a change orders what the previous one did.
 #[test]
 fn a_next_holder_goes_on() {
     let mut platform = Platform::new(0.2, 20);
@@ -194,7 +195,7 @@
     assert_eq!(platform.all(), 80);
 }
 
-/// Terms that make no sense order nothing.
+/// An invalid scaling policy leads to no orders.
 #[test]
 fn terms_without_sense_order_nothing() {
     let unsound = [
