--- a/tests/gateway/duties.rs
+++ b/tests/gateway/duties.rs
@@ -1,5 +1,5 @@
-//! Duties that one instance at a time has: the lease in every order of events, the counts, and real
-//! processes before a platform that misbehaves.
+//! Duties, which one instance at a time performs: the lease in every order of events, usage counts,
+//! and real gateway processes with a platform that misbehaves.
 
 use std::collections::{BTreeMap, HashSet, VecDeque};
 use std::time::Duration;
@@ -14,11 +14,12 @@
 
 use crate::support::{self, Running, call};
 
-/// The lease in the exploration below, in steps of its time; its margin is one step.
+/// Duration of the lease in the state exploration below, in time steps; its safety margin is one
+/// step.
 const TTL: u64 = 6;
-/// Events in a row that are explored.
+/// Number of successive events that are explored.
 const DEPTH: usize = 16;
-/// Instances that may hold the lease there.
+/// Number of instances that may hold the lease in the exploration.
 const INSTANCES: usize = 3;
 
 /// The entry in the directory.
@@ -31,7 +32,7 @@
     until_ms: u64,
 }
 
-/// A write that the directory carries out when it likes to.
+/// A write that the directory may execute at any later time.
 #[derive(Debug, Clone)]
 struct Late {
     by: usize,
@@ -40,7 +41,7 @@
     until_ms: u64,
 }
 
-/// What becomes of a call.
+/// Outcome of a call to the directory.
 #[derive(Debug, Clone, Copy)]
 enum Fate {
     Done,
@@ -87,7 +88,7 @@
         Some(token)
     }
 
-    /// One instance looks what to do about its lease, and does it.
+    /// Lets one instance determine and perform the next step about its lease.
     fn step(&mut self, by: usize, fate: Fate) {
         let now_ms = self.now_ms;
         // No two writes have the same nonce or lease.
@@ -141,14 +142,14 @@
         }
     }
 
-    /// What an entry that went, or one that is there, tells whoever watches the directory.
+    /// Lets an instance that watches the directory see the entry, or that it is gone.
     fn see(&mut self, by: usize) {
         let holder = self.holder();
         let now_ms = self.now_ms;
         self.leases[by].note_holder(holder.as_ref(), now_ms);
     }
 
-    /// All worlds that follow by one event.
+    /// Returns all states that follow by one event.
     fn next(&self) -> Vec<World> {
         let mut worlds = Vec::new();
         let mut add = |change: &dyn Fn(&mut World)| {
@@ -172,7 +173,7 @@
         worlds
     }
 
-    /// Who may act now, with which token.
+    /// Returns the instances that may act now, with their tokens.
     fn acting(&self) -> Vec<(usize, u64)> {
         let tokens = self.leases.iter().enumerate();
         tokens.filter_map(|(by, lease)| Some((by, lease.token(self.now_ms)?))).collect()
@@ -182,15 +183,16 @@
         let acting = self.acting();
         assert!(acting.len() <= 1, "two may act at {}: {self:?}", self.now_ms);
         for (by, token) in acting {
-            let entry = self.entry.as_ref().expect("the holder's entry outlasts its belief");
+            let entry = self.entry.as_ref().expect("an instance that may act has an entry");
             assert_eq!((entry.by, entry.token), (by, token), "{self:?}");
         }
     }
 }
 
-/// Every order of looks, lost answers, late writes, pauses (an instance that does nothing while time
-/// passes) and takeovers, up to a depth: never may two act, none may act without its entry in the directory,
-/// and so tokens rise from holder to holder and none is used by two.
+/// Explores every order of steps, lost responses, delayed writes, pauses (an instance does nothing
+/// while time passes) and takeovers, up to a depth. No two instances may act at the same time, and
+/// none may act without its entry in the directory; so tokens rise from holder to holder, and no
+/// two holders use the same one.
 #[test]
 fn in_every_order_of_events_one_instance_at_most_may_act() {
     let mut seen = HashSet::new();
@@ -210,29 +212,25 @@
     assert!(seen.len() > 10_000);
 }
 
-/// An instance that stood still for longer than its lease, or was suspended, does nothing by it.
+/// An instance that was paused or suspended for longer than its lease does nothing under it.
 #[test]
 fn a_holder_that_was_paused_acts_only_by_a_lease_that_lasts() {
     let mut lease = DutyLease::new(3_000);
     lease.note_acquired(AcquireAttempt { nonce: 1, lease: 5, requested_ms: 1_000 }, 41);
     assert_eq!(lease.token(3_400), Some(41));
-    assert_eq!(
-        lease.token(3_600),
-        None,
-        "it stops before the directory gives the lease to another"
-    );
+    assert_eq!(lease.token(3_600), None, "it stops before another instance can get the lease");
     assert!(matches!(lease.next_action(0, 9, 4_100), Some(Action::Acquire { nonce: 9 })));
     lease.note_renewed(4_100);
-    assert_eq!(lease.token(4_200), None, "a renewal that comes after its end changes nothing");
+    assert_eq!(lease.token(4_200), None, "a renewal after the end of the lease changes nothing");
 }
 
-/// Those that come later in rank leave the lease to the others for a moment.
+/// Instances that come later in rank leave a free lease to the others for a moment.
 #[test]
 fn the_first_in_rank_takes_a_lease_that_is_free() {
     let mut lease = DutyLease::new(3_000);
     let holder = Holder { id: "edge-1".into(), nonce: 3, token: 7 };
     lease.note_holder(Some(&holder), 500);
-    assert_eq!(lease.next_action(0, 9, 9_000), None, "another one has it");
+    assert_eq!(lease.next_action(0, 9, 9_000), None, "another instance holds the lease");
     lease.note_holder(None, 9_000);
     assert_eq!(lease.next_action(2, 9, 9_500), None);
     assert_eq!(lease.next_action(2, 9, 9_600), Some(Action::Acquire { nonce: 9 }));
@@ -253,12 +251,12 @@
     usage.counts_in(Window { number, length_ms: 5_000 }).values().sum()
 }
 
-/// Messages come twice, late and not at all; an instance that ended keeps what it had told, and none of
-/// it counts again when it is back.
+/// Messages arrive twice, late or not at all. The counts that an instance sent before it ended are
+/// kept, and none is counted again after its restart.
 #[parameterized(few = { 3, 7 }, some = { 30, 11 }, many = { 100, 13 })]
 fn counts_are_whole_whatever_becomes_of_messages(instances: usize, seed: u64) {
     const START_MS: u64 = 1_000_000_000;
-    // Clocks of the time of day differ, some of them by seconds.
+    // Wall clocks differ, some of them by seconds.
     let skew_ms = |index: usize| if index.is_multiple_of(5) { 1_400 } else { index as u64 % 3 };
     let mut random = fastrand::Rng::with_seed(seed);
     let mut usage = Usage::default();
@@ -280,7 +278,7 @@
             }
         }
         if now_ms % 3_000 == 1_000 {
-            // It ends right after it told the last of what it counted, and starts anew.
+            // The instance ends right after it has sent its last counts, and restarts.
             let index = random.usize(..instances);
             let (incarnation, counter) = &mut counters[index];
             let wall_ms = START_MS + now_ms + skew_ms(index);
@@ -299,22 +297,27 @@
     }
 }
 
-/// A window is reported from a moment after its end, when its counts are known, as long as it is taken.
+/// A window is due from a moment after its end, when its counts are known, until its report is no
+/// longer accepted.
 #[test]
 fn windows_are_due_after_their_end() {
     let schedule = Schedule { window_ms: 5_000, max_delay_ms: 10_000 };
     let due = |cluster_ms| schedule.due(cluster_ms).map(|window| window.number).collect::<Vec<_>>();
     assert_eq!(due(102_499), [17, 18]);
-    assert_eq!(due(102_500), [17, 18, 19], "its end was at 100,000");
+    assert_eq!(due(102_500), [17, 18, 19], "window 19 ended at 100,000");
     assert_eq!(due(109_999), [18, 19, 20]);
-    assert_eq!(due(110_000), [19, 20], "the one that ended at 95,000 isn't taken any more");
+    assert_eq!(
+        due(110_000),
+        [19, 20],
+        "the report of window 18, which ended at 95,000, is no longer accepted"
+    );
 }
 
 const WINDOW_MS: u64 = 1_000;
 const LATE_MS: u64 = 4_000;
 const LEASE_MS: u64 = 1_200;
 
-/// Gateways that have duties, before a platform that takes them.
+/// Starts gateways that perform duties, with a platform that accepts their calls.
 async fn start(gateways: u8) -> (Running, Cloud) {
     let cloud = Cloud::start().await;
     let mut running = support::start(gateways).await;
@@ -335,7 +338,8 @@
     (running, cloud)
 }
 
-/// Sends a call every 20 ms through all gateways in turn for a time; returns how many ran.
+/// Sends a call every 20 ms through all gateways in turn for a time; returns how many were
+/// executed.
 async fn load(running: &Running, lasts: Duration) -> u64 {
     let until = std::time::Instant::now() + lasts;
     let mut ran = 0;
@@ -351,7 +355,7 @@
     ran
 }
 
-/// Reports of each window are taken once, whatever the platform does; fences rise.
+/// Asserts that all reports of a window are the same, and that no two holders use the same token.
 fn assert_sound(cloud: &Cloud) {
     let seen = cloud.seen();
     let mut counts: BTreeMap<u64, Vec<u8>> = BTreeMap::new();
@@ -360,7 +364,7 @@
         let first = counts.entry(report.window).or_insert_with(|| report.body.clone());
         assert_eq!(*first, report.body, "two reports of window {}", report.window);
         let holder = holders.entry(report.token).or_insert_with(|| report.holder.clone());
-        assert_eq!(*holder, report.holder, "two holders have the token {}", report.token);
+        assert_eq!(*holder, report.holder, "two holders use the token {}", report.token);
     }
 }
 
@@ -376,7 +380,7 @@
     assert_eq!(held.count(), 1);
 }
 
-/// The holder is killed, frozen past its lease or loses the platform's answers, in series.
+/// The holder is killed, frozen past its lease or loses the platform's responses, twice in a row.
 #[parameterized(
     killed = { Trouble::Killed },
     frozen = { Trouble::Frozen },
@@ -403,7 +407,7 @@
     cloud.assert_fences_rise();
 }
 
-/// What happens to the holder or the platform.
+/// A disturbance of the holder or the platform.
 #[derive(Debug, Clone, Copy)]
 enum Trouble {
     Killed,
@@ -433,10 +437,10 @@
 }
 
 impl Running {
-    /// The gateway that holds the duties.
+    /// Returns the index of the gateway that holds the duties.
     async fn holder(&self) -> usize {
         let mut holder = None;
-        wait_for("one holds the duties", async || {
+        wait_for("a gateway holds the duties", async || {
             for (index, gateway) in self.gateways.iter().enumerate() {
                 if gateway.metrics().await.contains("holds_duties 1") {
                     holder = Some(index);
