--- a/tests/gateway/subset.rs
+++ b/tests/gateway/subset.rs
@@ -1,4 +1,4 @@
-//! Which upstreams an instance holds: pure steps, at the sizes of fleets of two years from now.
+//! Which upstreams an instance holds: pure functions, at the fleet sizes expected in two years.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -28,7 +28,8 @@
     (0..instances).map(|number| InstanceSubset::new(&format!("edge-{number}"))).collect()
 }
 
-/// What an instance holds doesn't grow with the fleet, and no upstream is left without instances.
+/// The number of upstreams that an instance holds doesn't grow with the fleet, and each upstream is
+/// held by some instances.
 #[parameterized(
     small = { 9, 24 },
     few_instances = { 30, 3_000 },
@@ -49,10 +50,10 @@
         assert!(held.len() >= least && is_bounded, "{} of {count}", held.len());
         held.into_iter().for_each(|id| *held_by.entry(id).or_insert(0) += 1);
     }
-    assert_eq!(held_by.len(), count, "each has instances");
+    assert_eq!(held_by.len(), count, "each upstream is held by an instance");
 }
 
-/// An instance that wants more keeps what it has, down to everything.
+/// A wider share includes all that a narrower one does, up to all upstreams.
 #[test]
 fn a_wider_share_holds_what_a_narrower_one_does() {
     let all = upstreams(2_000);
@@ -69,8 +70,8 @@
     assert!(all.iter().all(|upstream| holder.holds(&upstream.id, share)));
 }
 
-/// Where a few engines in a hundred are free, as in the moment after a failure domain was lost, no request
-/// finds all that its instance holds taken while another one is free: in 100,000 requests.
+/// A few percent of the engines are free, as right after the loss of a failure domain. No request
+/// then finds all engines of its instance busy while another one is free, in 100,000 requests.
 #[parameterized(thousand = { 1_000, 10_000 }, twice = { 2_000, 20_000 })]
 fn no_request_is_refused_while_an_engine_is_free(instances: usize, count: usize) {
     let all = upstreams(count);
@@ -86,7 +87,7 @@
     assert_eq!(without, 0, "instances without a free engine");
 }
 
-/// Requests spread as evenly over engines as if each instance knew them all.
+/// Requests are spread as evenly over the engines as if each instance knew all of them.
 #[test]
 fn load_is_as_even_as_with_the_whole_list() {
     const REQUESTS: usize = 20_000;
@@ -127,8 +128,9 @@
     held.map(|(id, upstream)| (Arc::clone(id), upstream.clone())).collect()
 }
 
-/// Changes come in any order, some twice and some not at all; what was missed is asked for by revision,
-/// and the list ends up as it is at whoever holds all.
+/// Changes arrive in any order, some twice and some not at all. Missed changes are requested by
+/// revision, and the list ends up equal to the same part of the list of an instance that holds
+/// everything.
 #[parameterized(one = { 3 }, two = { 5 }, three = { 9 })]
 fn a_part_of_the_list_ends_up_right(seed: u64) {
     let share = Share::from_halvings(2);
@@ -182,7 +184,7 @@
     }
 }
 
-/// A list of thousands comes in pages that any link carries in time.
+/// A list of thousands of upstreams is sent in pages small enough for any link.
 #[test]
 fn a_whole_list_comes_in_pages() {
     let mut whole = Fleet::default();
