--- a/tests/gateway/rate_limit.rs
+++ b/tests/gateway/rate_limit.rs
@@ -1,4 +1,4 @@
-//! Upstreams that name the rate which they take from all instances together.
+//! Upstreams that advertise a rate limit for all instances together.
 
 use std::time::{Duration, Instant};
 
@@ -10,20 +10,21 @@
 use crate::load::{self, AT_ONCE, CALL_EVERY, Got, STREAM_EVERY, booking_or_look_up};
 use crate::support::{self, call, plan};
 
-/// The rate that upstreams name.
+/// The rate that upstreams advertise.
 const LIMIT_PER_S: f64 = 6.0;
-/// From so long after an upstream named its rate, it is held to.
+/// Time after an upstream has advertised its rate from which the limit must be kept.
 const CONTACT: Duration = Duration::from_secs(3);
-/// Over any span of this length, one and a half times the rate and five more are allowed.
+/// Length of the spans over which requests are counted: 1.5 times the rate and five more are
+/// allowed.
 const SPAN: Duration = Duration::from_secs(4);
-/// How long callers go on after the rate was named.
+/// How long callers send requests after the rate was advertised.
 const LOAD: Duration = Duration::from_secs(9);
 
 fn limiting() -> Signals {
     Signals { limit_per_s: Some(LIMIT_PER_S), ..Signals::default() }
 }
 
-/// The most requests that an upstream got within any span from a time on.
+/// Returns the maximum number of requests that an upstream received within any span from a time on.
 fn most_in_a_span(seen: &[Seen], from: Instant) -> usize {
     let at: Vec<Instant> = seen.iter().map(|seen| seen.at).filter(|at| *at >= from).collect();
     let within = |first: &Instant| {
@@ -32,7 +33,7 @@
     at.iter().map(within).max().unwrap_or(0)
 }
 
-/// What the rule allows.
+/// Returns the number of requests allowed within a span.
 fn allowed() -> usize {
     (1.5 * LIMIT_PER_S * SPAN.as_secs_f64()) as usize + 5
 }
@@ -42,8 +43,9 @@
     assert!(most <= allowed(), "{most} requests in 4 s, {} are allowed", allowed());
 }
 
-/// Two of three services name a rate, and the third takes the rest. On the code that didn't read it,
-/// one that took 6 a second got 130 to 230 requests in 4 s, where 41 are allowed.
+/// Two of three services advertise a rate, and the third takes the remaining requests. Before rates
+/// were read, a service with a limit of 6 a second received 130 to 230 requests in 4 s, where 41
+/// are allowed.
 #[parameterized(one_instance = { 1 }, nine_instances = { 9 }, many_instances = { 73 })]
 #[test_macro(tokio::test)]
 async fn upstreams_that_limit_their_rate_get_no_more(instances: u8) {
@@ -57,10 +59,16 @@
         assert_within(&service.seen(), named_at);
     }
     let unserved = got.iter().filter(|got| got.status != 200).count();
-    assert_eq!(unserved, 0, "of {}: the third service takes what the others don't", got.len());
+    assert_eq!(
+        unserved,
+        0,
+        "of {} calls: the third service takes what the others don't",
+        got.len()
+    );
 }
 
-/// What goes beyond the rates of all is refused at once and has not run, and the rates are used.
+/// Calls beyond the rates of all upstreams are refused at once and not executed, and the rates are
+/// used up.
 #[parameterized(one_instance = { 1 }, nine_instances = { 9 })]
 #[test_macro(tokio::test)]
 async fn calls_beyond_the_rates_of_all_upstreams_are_refused_at_once(instances: u8) {
@@ -73,7 +81,7 @@
     let taken = running.site.services.len() as f64 * LIMIT_PER_S * LOAD.as_secs_f64();
     assert!(
         served.len() as f64 >= 0.6 * taken,
-        "{} served of {taken} that are taken",
+        "{} calls served, where the limits allow {taken}",
         served.len()
     );
     for got in refused {
@@ -84,8 +92,8 @@
     }
 }
 
-/// Repeats after errors, second attempts beside silent upstreams and calls that lost their upstream
-/// draw on the same rate as first attempts.
+/// Retries after errors, hedges beside unresponsive upstreams and calls that lost their upstream
+/// count towards the same limit as first attempts.
 #[parameterized(
     errors = { Fault::Error },
     lost_answers = { Fault::LostAnswer },
@@ -106,10 +114,12 @@
         assert_within(&service.seen(), named_at);
     }
     let refused = got.iter().filter(|got| got.status == 503);
-    refused.for_each(|got| assert_eq!(running.runs_of(&got.id), 0, "it is said not to have run"));
+    refused
+        .for_each(|got| assert_eq!(running.runs_of(&got.id), 0, "a refused call was not executed"));
 }
 
-/// Streams, resumed ones and those that go on from copies keep to the rate of engines.
+/// Streams, resumed streams and those that continue from a KV cache copy keep to the rate of
+/// engines.
 #[parameterized(calm = { false }, engines_crash = { true })]
 #[test_macro(tokio::test)]
 async fn streams_keep_to_the_rate(engines_crash: bool) {
@@ -135,7 +145,7 @@
     refused.for_each(|got| assert_eq!(running.runs_of(&got.id), 0));
 }
 
-/// Instances that are frozen, killed, stopped and started change who keeps the buckets.
+/// Instances that are frozen, killed, stopped and started change the owners of the token buckets.
 #[tokio::test]
 async fn the_rate_holds_while_instances_come_and_go() {
     let mut running = support::start(9).await;
@@ -172,7 +182,7 @@
     assert!(got.iter().filter(|got| got.status == 200).count() > 100);
 }
 
-/// An upstream that no longer names a rate takes its part again.
+/// An upstream that no longer advertises a rate takes its part of the requests again.
 #[tokio::test]
 async fn a_rate_that_is_no_longer_named_is_over() {
     let running = support::start(3).await;
@@ -187,8 +197,8 @@
     assert!(taken * 6 > got.len(), "{taken} of {} calls went to one of three services", got.len());
 }
 
-/// An instance that had just started heard of the rate in no answer that it could pass on, since the upstream
-/// answered for other requests, and sent as much as it liked.
+/// The upstream sends the responses of other requests, none of which can be passed on. An instance
+/// that had just started therefore never learned of the rate, and sent without a limit.
 #[tokio::test]
 async fn a_rate_is_heard_of_in_answers_that_belong_to_other_requests() {
     let running = support::start(1).await;
