--- a/tests/gateway/permits.rs
+++ b/tests/gateway/permits.rs
@@ -1,4 +1,4 @@
-//! Permits to send to upstreams that limit their rate: the decision alone, in virtual time.
+//! Permits for upstreams with a rate limit: only the decision, in virtual time.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -8,35 +8,35 @@
 use siskinrock::gateway::rate::{AdvertisedRate, Permit, Rate};
 use yare::parameterized;
 
-/// Any span of this length counts.
+/// Length of the spans over which requests are counted.
 const SPAN_MS: u64 = 4_000;
-/// How long until an instance knows who has gone or come.
+/// Time until an instance notices that another one has gone or come.
 const NOTICED_MS: u64 = 1_500;
-/// How long an instance that fell silent counts as one that may live on.
+/// How long an instance that stopped responding counts as possibly alive.
 const SILENT_COUNTS_MS: u64 = 10_000;
-/// From this moment on, the rate is held to.
+/// Time from which the rate must be kept.
 const HELD_TO_FROM_MS: u64 = 4_000;
 const STEP_MS: u64 = 5;
 const UPSTREAM: &str = "i-7e6cb34cad";
 
-/// What becomes of some instances of a fleet.
+/// What happens to some instances of a fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Trouble {
     /// Nothing.
     None,
-    /// All are killed at once, and start again.
+    /// All are killed at once, and restart.
     Restart,
-    /// A third stands still for three seconds, with what it knew.
+    /// A third is suspended for three seconds and keeps its state.
     Freeze,
-    /// One after the other ends and is back later.
+    /// One after the other ends and restarts later.
     Stops,
-    /// Half of them are cut off from the others, and send on.
+    /// A partition cuts off half of them from the others, and they go on sending.
     Cut,
-    /// Each is cut off from all others, in turn.
+    /// A partition cuts off each from all others, in turn.
     CutOneByOne,
 }
 
-/// An instance as it is at a moment.
+/// State of an instance.
 struct Instance {
     id: Arc<str>,
     started_ms: u64,
@@ -60,7 +60,7 @@
         Fleet { instances: (0..count).map(new).collect(), trouble }
     }
 
-    /// Whether an instance runs.
+    /// Returns whether an instance is running.
     fn runs(&self, number: usize, now_ms: u64) -> bool {
         match self.trouble {
             Trouble::Restart => !(8_000..8_500).contains(&now_ms),
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Whether two instances reach each other.
+    /// Returns whether two instances can reach each other.
     fn reach(&self, one: usize, other: usize, now_ms: u64) -> bool {
         let is_cut = match self.trouble {
             Trouble::Cut => (8_000..16_000).contains(&now_ms) && one % 2 != other % 2,
@@ -86,7 +86,7 @@
         one == other || !is_cut
     }
 
-    /// Whom an instance takes for alive: what it noticed of the others.
+    /// Returns the instances that one considers alive, by what it has noticed of the others.
     fn known(&self, me: usize, now_ms: u64) -> BTreeSet<usize> {
         let then_ms = now_ms.saturating_sub(NOTICED_MS);
         let is_known = |other: &usize| {
@@ -98,21 +98,22 @@
         (0..self.instances.len()).filter(is_known).collect()
     }
 
-    /// Others that fell silent lately.
+    /// Returns the number of other instances that stopped responding recently.
     fn silent(&self, me: usize, known: &BTreeSet<usize>, now_ms: u64) -> usize {
         let is_old = now_ms.saturating_sub(self.instances[me].started_ms) > NOTICED_MS;
         let lasts_short = now_ms < 8_000 + SILENT_COUNTS_MS;
         if is_old && lasts_short { self.instances.len() - known.len() } else { 0 }
     }
 
-    /// Whether an instance may send one request.
+    /// Returns whether an instance may send one request.
     fn asks(&mut self, me: usize, rate: Rate, now_ms: u64) -> bool {
         if self.instances[me].throttled_until_ms > now_ms {
             return false;
         }
         let known = self.known(me, now_ms);
         let ids = known.iter().map(|number| &self.instances[*number].id);
-        let owner = rate_limit::bucket_owner(UPSTREAM, ids).cloned().expect("it knows itself");
+        let owner =
+            rate_limit::bucket_owner(UPSTREAM, ids).cloned().expect("an instance knows itself");
         let owner = self.instances.iter().position(|other| other.id == owner).unwrap();
         let permit = if self.runs(owner, now_ms) && self.reach(me, owner, now_ms) {
             let seen = self.known(owner, now_ms);
@@ -138,7 +139,8 @@
         }
     }
 
-    /// When requests reach the upstream, if each instance wants to send ten a second.
+    /// Returns the times at which requests reach the upstream, if each instance tries to send ten a
+    /// second.
     fn play(&mut self, rate: Rate, until_ms: u64) -> Vec<u64> {
         let mut random = fastrand::Rng::with_seed(7);
         let mut sent = Vec::new();
@@ -165,8 +167,9 @@
     held_to().map(within).max().unwrap_or(0)
 }
 
-/// However many instances there are and whatever becomes of them, an upstream gets no more than one and
-/// a half times its rate and five more in any four seconds; while they are well, it gets most of it.
+/// However many instances there are and whatever happens to them, an upstream receives at most 1.5
+/// times its rate and five more requests in any four seconds. While nothing happens to them, it
+/// receives most of its rate.
 #[parameterized(
     well = { Trouble::None },
     restart = { Trouble::Restart },
@@ -193,7 +196,7 @@
     }
 }
 
-/// An owner that has just started may not know the others yet.
+/// An owner that has just started may not know the other instances yet.
 #[test]
 fn who_has_just_started_grants_nothing() {
     let mut limiter = Limiter::default();
@@ -202,8 +205,8 @@
     assert_eq!(asked, Permit::Wait { after_ms: 1_400 });
 }
 
-/// An upstream that takes nothing still gets a request now and then: only its answer can tell that the
-/// limit is over.
+/// An upstream with a rate of zero still receives a request now and then: only its response can
+/// show that the limit has been lifted.
 #[test]
 fn a_rate_of_nothing_leaves_a_request_in_ten_seconds() {
     let sent = Fleet::new(9, Trouble::None).play(Rate::per_s(0.0), 60_000);
@@ -224,7 +227,7 @@
     assert_eq!(Rate::parse(value), per_s.map(Rate::per_s));
 }
 
-/// Of nine instances, one that goes gives up only the upstreams whose buckets it kept.
+/// When one of nine instances goes, only the buckets that it owned change owners.
 #[test]
 fn other_upstreams_keep_their_bucket_owners_when_an_instance_goes() {
     let all: Vec<Arc<str>> = (0..9).map(|number| Arc::from(format!("edge-{number}"))).collect();
@@ -239,13 +242,17 @@
     AdvertisedRate { upstream: Arc::from(UPSTREAM), rate: Rate::per_s(per_s), age_ms }
 }
 
-/// Instances that tell each other all that they know don't keep a rate alive that nobody names any more.
+/// Instances that keep sending each other all they know must not keep a rate alive that no upstream
+/// advertises any more.
 #[test]
 fn a_rate_that_is_passed_on_gets_no_younger() {
     let mut instances =
         [AdvertisedRates::default(), AdvertisedRates::default(), AdvertisedRates::default()];
     assert!(instances[0].note(&told(6.0, 0), 1_000));
-    assert!(!instances[0].note(&told(6.0, 0), 2_000), "it is news once in ten seconds");
+    assert!(
+        !instances[0].note(&told(6.0, 0), 2_000),
+        "an unchanged rate is new again after ten seconds"
+    );
     for now_ms in (1_000..60_000).step_by(100) {
         let from = (now_ms / 100) as usize % 3;
         let all = instances[from].all(now_ms);
@@ -260,7 +267,7 @@
     }
 }
 
-/// Of two rates, the one that was named last counts, whichever is heard last.
+/// Of two rates, the one that was advertised last applies, whichever is received last.
 #[test]
 fn the_rate_that_was_named_last_counts() {
     let mut rates = AdvertisedRates::default();
