--- a/tests/gateway/watchers.rs
+++ b/tests/gateway/watchers.rs
@@ -1,4 +1,4 @@
-//! Which instances call the directory: pure steps over the ids of those that live.
+//! Which instances call the directory: pure functions of the ids of live instances.
 
 use siskinrock::gateway::policy::watchers::{self, Rank, WatchPosition, rank};
 
@@ -10,7 +10,7 @@
     all.iter().filter(move |id| *id != me).map(|id| rank(id, 10))
 }
 
-/// Calls of the directory are paid for, so their number must not follow the fleet's.
+/// Calls to the directory are billed, so their number must not grow with the fleet.
 #[test]
 fn four_watch_and_four_register_however_many_there_are() {
     for count in [1, 4, 9, 30, 195, 361, 1_000] {
@@ -22,7 +22,7 @@
     }
 }
 
-/// Whoever the directory turns away no longer hears from it, and the next in rank takes its place.
+/// A watcher that the directory rejects no longer reads it, and the next in rank takes its place.
 #[test]
 fn the_next_in_rank_watches_for_one_that_is_turned_away() {
     let all = ids(9);
@@ -36,10 +36,10 @@
     let after = watching(&left);
     assert!(before[1..].iter().all(|id| after.contains(id)));
     assert_eq!(after.iter().filter(|id| !before.contains(id)).count(), 1);
-    assert_eq!(watching(&[]), all, "where nobody hears from the directory, all try");
+    assert_eq!(watching(&[]), all, "if nobody reads the directory, all watch");
 }
 
-/// While the store turned all away, 195 instances made 390 calls a second.
+/// While the store rejected all calls, 195 instances made 390 calls a second.
 #[test]
 fn a_directory_that_answers_nobody_is_asked_less_often_by_those_of_a_high_rank() {
     assert_eq!([0, 3, 4, 8, 100].map(WatchPosition::backoff_factor), [1, 1, 2, 3, 26]);
@@ -50,7 +50,8 @@
     assert!(calls_a_second(361) < 45.0, "{}", calls_a_second(361));
 }
 
-/// The first notices within two seconds what the directory told nobody; the others rely on it.
+/// The first watcher notices changes within two seconds of which the directory sent no event; the
+/// others rely on it.
 #[test]
 fn the_first_in_rank_asks_most_often() {
     let turns = [0, 1, 2, 3].map(|ahead| WatchPosition { ahead, others: 3 });
@@ -58,7 +59,8 @@
     assert_eq!(turns.map(WatchPosition::batch_delay_ms), [400, 800, 1_200, 1_600]);
 }
 
-/// All instances start at once and hear from the directory; all but four leave it to those, one by one.
+/// All instances start at once and read the directory; all but four then leave it to those, one by
+/// one.
 #[test]
 fn a_start_of_the_whole_fleet_makes_few_watchers_ask() {
     for count in [9, 73, 300, 1_000] {
@@ -75,5 +77,5 @@
     assert!(watchers::should_check_directory(3, 2));
     assert!(watchers::should_check_directory(1, 0));
     assert!(!watchers::should_check_directory(2, 2), "nothing changed");
-    assert!(!watchers::should_check_directory(2, 3), "one more hears from it");
+    assert!(!watchers::should_check_directory(2, 3), "one more reads the directory");
 }
