--- a/tests/gateway/backoff.rs
+++ b/tests/gateway/backoff.rs
@@ -1,4 +1,4 @@
-//! Upstreams that refuse a request and ask that instance to back off.
+//! Upstreams that refuse a request and ask the instance to back off.
 
 use std::time::{Duration, Instant};
 
@@ -10,19 +10,19 @@
 use crate::load::{self, AT_ONCE, CALL_EVERY, STREAM_EVERY, booking_or_look_up};
 use crate::support::{self, call, plan};
 
-/// For how long they ask.
+/// Length of the backoff that they ask for.
 const BACKOFF_S: f64 = 3.0;
 const BACKOFF: Duration = Duration::from_secs(3);
-/// From so long after a refusal on, it counts.
+/// Time after a refusal from which the backoff must be kept.
 const BOUND: Duration = Duration::from_millis(500);
-/// What may reach an upstream from one instance meanwhile.
+/// Number of requests from one instance that may still reach an upstream during the backoff.
 const ALLOWED: usize = 2;
 
 fn backing_off() -> Signals {
     Signals { backoff_s: Some(BACKOFF_S), ..Signals::default() }
 }
 
-/// The most requests that came within a backoff that any request began.
+/// Returns the maximum number of requests received during the backoff that any request started.
 fn most_in_a_backoff(seen: &[Seen]) -> usize {
     let within = |refused: &Seen| {
         let backoff = refused.at + BOUND..refused.at + BACKOFF;
@@ -31,8 +31,8 @@
     seen.iter().map(within).max().unwrap_or(0)
 }
 
-/// One of three services is full and asks for backoff, the others answer with errors: their repeats look for
-/// another one.
+/// One of three services is at capacity and asks for backoff, the others answer with errors;
+/// retries look for another service.
 #[parameterized(
     errors = { Fault::Error },
     lost_answers = { Fault::LostAnswer },
@@ -51,7 +51,8 @@
     assert!(most <= ALLOWED, "{most} requests in a backoff");
 }
 
-/// Of many instances, each is refused for itself, once in a backoff, but for what was under way.
+/// Each of many instances is refused by itself, once in a backoff, apart from requests already
+/// under way.
 #[parameterized(nine_instances = { 9 }, many_instances = { 73 })]
 #[test_macro(tokio::test)]
 async fn each_instance_backs_off_for_as_long_as_it_was_asked(instances: u8) {
@@ -65,11 +66,12 @@
     let most = usize::from(instances) * (2 + ALLOWED);
     let seen = full.seen().len();
     assert!(seen <= most, "{seen} requests in two backoffs of {instances} instances");
-    assert_eq!(got.iter().filter(|got| got.status != 200).count(), 0, "others take them");
+    assert_eq!(got.iter().filter(|got| got.status != 200).count(), 0, "other upstreams take them");
 }
 
-/// Where all upstreams ask for backoff, callers are refused at once, not run, and told not to come before one of them
-/// takes work again; then they are served.
+/// While all upstreams ask for backoff, callers are refused at once, their requests are not
+/// executed, and Retry-After lasts until the first upstream accepts requests again; then they are
+/// served.
 #[tokio::test]
 async fn a_refusal_says_when_the_first_upstream_takes_work_again() {
     let running = support::start(1).await;
@@ -85,9 +87,10 @@
     let refused = load::ask(running.front(0), call("POST", "/book/berth")).await;
     assert_eq!((refused.status, running.runs_of(&refused.id)), (503, 0));
     assert!(refused.took <= AT_ONCE, "refused after {:?}", refused.took);
-    let after = Duration::from_secs_f64(refused.retry_after_s.expect("it says when"));
+    let after =
+        Duration::from_secs_f64(refused.retry_after_s.expect("a refusal has a Retry-After"));
     let first_refused = services.iter().flat_map(|service| service.seen()).map(|seen| seen.at);
-    let first_free = first_refused.min().expect("they were asked") + BACKOFF;
+    let first_free = first_refused.min().expect("the services received requests") + BACKOFF;
     let slack = Duration::from_millis(50);
     assert!(asked_at + after + slack >= first_free, "{after:?} is too early");
     assert!(after <= BACKOFF + Duration::from_secs(1), "{after:?} is too late");
@@ -96,7 +99,8 @@
     assert_eq!(served.status, 200);
 }
 
-/// Streams, those that go on after a loss and those that go on from copies; others take them.
+/// Other engines take the streams, including those resumed after a loss and those that continue
+/// from KV cache copies.
 #[tokio::test]
 async fn an_engine_that_asks_for_backoff_gets_no_streams() {
     let running = support::start(1).await;
@@ -116,10 +120,10 @@
     let (got, ()) = tokio::join!(streams, tear);
     let most = most_in_a_backoff(&full.seen());
     assert!(most <= ALLOWED, "{most} requests in a backoff");
-    assert_eq!(got.iter().filter(|got| got.status != 200).count(), 0, "others take them");
+    assert_eq!(got.iter().filter(|got| got.status != 200).count(), 0, "other upstreams take them");
 }
 
-/// A backoff that an upstream states in a way that can't be read, or of no length, is none.
+/// A backoff that can't be parsed or has no positive length is ignored.
 #[parameterized(nothing = { 0.0 }, negative = { -3.0 }, endless = { f64::INFINITY }, no_number = { f64::NAN })]
 #[test_macro(tokio::test)]
 async fn a_backoff_of_no_length_throttles_nothing(backoff_s: f64) {
