--- a/tests/gateway/departures.rs
+++ b/tests/gateway/departures.rs
@@ -1,4 +1,4 @@
-//! What is remembered of upstreams that said that they leave.
+//! Upstreams that have announced that they are leaving.
 
 use std::sync::Arc;
 
@@ -18,18 +18,18 @@
     }
 }
 
-/// An upstream may start again under the id that it had.
+/// An upstream may restart under the same id.
 #[test]
 fn a_later_incarnation_under_the_same_id_did_not_say_so() {
     let mut departures = Departures::default();
     let before = upstream(Some(1_000));
     assert!(departures.note(&Departure::of(&before), 0));
-    assert!(!departures.note(&Departure::of(&before), 10), "once is enough");
+    assert!(!departures.note(&Departure::of(&before), 10), "it is already known");
     assert!(departures.holds(&before));
     assert!(!departures.holds(&upstream(Some(9_000))));
 }
 
-/// An instance of a fleet that runs for months does not remember all that ever left.
+/// An instance of a fleet that runs for months must not keep all upstreams that ever left.
 #[test]
 fn what_left_long_ago_is_forgotten() {
     let mut departures = Departures::default();
