--- a/tests/gateway/quarantine.rs
+++ b/tests/gateway/quarantine.rs
@@ -30,11 +30,11 @@
 const POISON: &[u8] = b"a body that ends each engine that runs it";
 /// Number of engines that a request may crash before it is quarantined; with fewer, another request
 /// could be the cause.
-const MOST_CRASHES: usize = 3;
+const MAX_CRASHES: usize = 3;
 /// Time limit for the refusal of a quarantined request: no attempt takes less.
-const AT_ONCE: Duration = Duration::from_millis(50);
+const MAX_REFUSAL_TIME: Duration = Duration::from_millis(50);
 /// Time within which all instances learn of a quarantine.
-const NEWS: Duration = Duration::from_secs(1);
+const PROPAGATION_TIME: Duration = Duration::from_secs(1);
 
 /// Starts so many gateways in front of twelve engines that crash when they run the poison request.
 async fn start(gateways: u8) -> Running {
@@ -53,12 +53,12 @@
     }
 
     /// Sends the request again, with a new id, to an instance, which must refuse it at once.
-    async fn refuses_at_once(&self, instance: usize, sent: &Call) {
+    async fn assert_refused_at_once(&self, instance: usize, sent: &Call) {
         let crashed = self.crashed();
         let again = Call { id: support::new_id(), ..sent.clone() };
         let since = Instant::now();
         let answer = caller::send(self.front(instance), &again).await.unwrap();
-        assert!(since.elapsed() < AT_ONCE, "refused after {:?}", since.elapsed());
+        assert!(since.elapsed() < MAX_REFUSAL_TIME, "refused after {:?}", since.elapsed());
         assert_eq!(answer.status(), 503, "a refused request is not executed");
         let after: f64 = answer.header("retry-after").unwrap().parse().unwrap();
         assert!(after > 60.0, "Retry-After lasts until the quarantine ends: {after}");
@@ -67,7 +67,7 @@
     }
 
     /// Returns the index of the live engine that runs a stream, once it has made so many events.
-    async fn runs_at(&self, sent: &Call, events: u64) -> usize {
+    async fn engine_running(&self, sent: &Call, events: u64) -> usize {
         let engines = &self.site.engines;
         let runs = |index: &usize| {
             let engine = &engines[*index];
@@ -90,10 +90,10 @@
     let reading: Vec<_> = others.iter().map(|sent| running.read_stream(sent)).collect();
     let sent = poison();
     let _ = caller::stream(running.front(0), &sent).await;
-    assert!(running.crashed() <= MOST_CRASHES, "{} engines crashed", running.crashed());
-    tokio::time::sleep(NEWS).await;
+    assert!(running.crashed() <= MAX_CRASHES, "{} engines crashed", running.crashed());
+    tokio::time::sleep(PROPAGATION_TIME).await;
     for instance in 0..3 {
-        running.refuses_at_once(instance, &sent).await;
+        running.assert_refused_at_once(instance, &sent).await;
     }
     for (sent, stream) in others.iter().zip(reading) {
         let stream = stream.await.unwrap().unwrap();
@@ -121,9 +121,9 @@
     let _ = tokio::join!(first, second, third);
     let crashed = running.crashed();
     assert!(crashed <= 3 * CRASHES_EACH, "{crashed} engines crashed");
-    tokio::time::sleep(NEWS).await;
+    tokio::time::sleep(PROPAGATION_TIME).await;
     for instance in 0..3 {
-        running.refuses_at_once(instance, &sent).await;
+        running.assert_refused_at_once(instance, &sent).await;
     }
 }
 
@@ -136,36 +136,36 @@
     for attempt in 0..6 {
         let again = Call { id: support::new_id(), deadline_ms: 200, ..sent.clone() };
         let _ = caller::stream(running.front(attempt % 3), &again).await;
-        tokio::time::sleep(NEWS).await;
+        tokio::time::sleep(PROPAGATION_TIME).await;
     }
-    assert_eq!(running.crashed(), MOST_CRASHES);
+    assert_eq!(running.crashed(), MAX_CRASHES);
 }
 
 /// An instance that starts later learns of the quarantine before callers reach it.
 #[tokio::test]
-async fn an_instance_that_starts_later_knows_it() {
+async fn an_instance_that_starts_later_learns_of_a_quarantine() {
     let mut running = start(2).await;
     let sent = poison();
     let _ = caller::stream(running.front(0), &sent).await;
     running.add(2);
     running.wait_until_ready().await;
-    tokio::time::sleep(NEWS).await;
-    running.refuses_at_once(2, &sent).await;
+    tokio::time::sleep(PROPAGATION_TIME).await;
+    running.assert_refused_at_once(2, &sent).await;
 }
 
 /// An instance that was suspended while the others learned of the quarantine learns of it soon
 /// after it resumes.
 #[tokio::test]
-async fn an_instance_that_stood_still_knows_it() {
-    const STOOD_STILL: Duration = Duration::from_secs(4);
+async fn a_suspended_instance_learns_of_a_quarantine() {
+    const SUSPENSION: Duration = Duration::from_secs(4);
     let running = start(3).await;
     running.gateways[2].signal(libc::SIGSTOP);
     let sent = poison();
     let _ = caller::stream(running.front(0), &sent).await;
-    tokio::time::sleep(STOOD_STILL).await;
+    tokio::time::sleep(SUSPENSION).await;
     running.gateways[2].signal(libc::SIGCONT);
-    tokio::time::sleep(NEWS).await;
-    running.refuses_at_once(2, &sent).await;
+    tokio::time::sleep(PROPAGATION_TIME).await;
+    running.assert_refused_at_once(2, &sent).await;
 }
 
 /// Calls are quarantined as streams are: a repeatable call crashes two services, and the third one
@@ -179,7 +179,7 @@
         let again = Call { id: support::new_id(), ..sent.clone() };
         let answer = caller::send(running.front(instance), &again).await.unwrap();
         assert_eq!(answer.status(), 502, "the call was executed");
-        tokio::time::sleep(NEWS).await;
+        tokio::time::sleep(PROPAGATION_TIME).await;
     }
     let services = 0..running.site.services.len();
     assert!(running.site.services.iter().all(|service| service.process.has_crashed()));
@@ -196,7 +196,7 @@
     })
     .await;
     for instance in [0, 1] {
-        running.refuses_at_once(instance, &sent).await;
+        running.assert_refused_at_once(instance, &sent).await;
     }
     assert!(!running.site.services.iter().any(|service| service.process.has_crashed()));
 }
@@ -211,7 +211,7 @@
     let sent = plan();
     let reading = running.read_stream(&sent);
     for loss in 1..=4 {
-        let engine = running.runs_at(&sent, 4 * loss).await;
+        let engine = running.engine_running(&sent, 4 * loss).await;
         running.site.engines[engine].process.crash();
     }
     let stream = reading.await.unwrap().unwrap();
@@ -227,31 +227,31 @@
     seen_by_three = { &[0, 1, 2], 200 },
 )]
 #[test_macro(tokio::test)]
-async fn it_outlasts_the_loss_of_all_instances(instances: &[usize], deadline_ms: u64) {
+async fn a_quarantine_outlasts_the_loss_of_all_instances(instances: &[usize], deadline_ms: u64) {
     let mut running = start(3).await;
     let sent = Call { deadline_ms, ..poison() };
     for instance in instances {
         let again = Call { id: support::new_id(), ..sent.clone() };
         let _ = caller::stream(running.front(*instance), &again).await;
-        tokio::time::sleep(NEWS).await;
+        tokio::time::sleep(PROPAGATION_TIME).await;
     }
     running.gateways.iter_mut().for_each(|gateway| gateway.kill());
     running.gateways.iter_mut().for_each(|gateway| gateway.restart());
     running.wait_until_ready().await;
-    tokio::time::sleep(NEWS).await;
+    tokio::time::sleep(PROPAGATION_TIME).await;
     for instance in 0..3 {
-        running.refuses_at_once(instance, &sent).await;
+        running.assert_refused_at_once(instance, &sent).await;
     }
 }
 
 /// After the upstreams are repaired, an operator lifts the quarantine through any instance, and the
 /// request is served.
 #[tokio::test]
-async fn operators_see_it_and_lift_it() {
+async fn operators_see_and_lift_a_quarantine() {
     let running = start(2).await;
     let sent = poison();
     let _ = caller::stream(running.front(0), &sent).await;
-    tokio::time::sleep(NEWS).await;
+    tokio::time::sleep(PROPAGATION_TIME).await;
     let metrics = format!("{}:9464", running.front(1).ip());
     let listed = siskinrock(&["quarantine", "--metrics", &metrics]).await;
     assert!(listed.contains("3 upstreams ended  in quarantine for"), "{listed}");
@@ -260,7 +260,7 @@
     running.site.engines.iter().for_each(|engine| engine.crash_on(b"another body"));
     let lifted = siskinrock(&["quarantine", "lift", fingerprint, "--metrics", &metrics]).await;
     assert!(lifted.contains("lifted"), "{lifted}");
-    tokio::time::sleep(NEWS).await;
+    tokio::time::sleep(PROPAGATION_TIME).await;
     let again = Call { id: support::new_id(), ..sent };
     let stream = caller::stream(running.front(0), &again).await.unwrap();
     assert!(stream.is_complete);
