--- a/tests/gateway/subset.rs
+++ b/tests/gateway/subset.rs
@@ -106,8 +106,8 @@
         let best = *known.iter().min_by_key(|index| (runs[**index], **index)).unwrap();
         runs[best] += 1;
     }
-    let most = runs.iter().max().unwrap();
-    assert!(*most <= REQUESTS / all.len() + 3, "{most} at one engine");
+    let max_runs = runs.iter().max().unwrap();
+    assert!(*max_runs <= REQUESTS / all.len() + 3, "{max_runs} at one engine");
 }
 
 /// A service stays large while a few of its upstreams come and go.
@@ -123,7 +123,7 @@
     assert_eq!([383, 384].map(|count| large(count, &yes)), [false, true]);
 }
 
-fn part(fleet: &Fleet, holder: InstanceSubset, share: Share) -> BTreeMap<Arc<str>, Upstream> {
+fn held_part(fleet: &Fleet, holder: InstanceSubset, share: Share) -> BTreeMap<Arc<str>, Upstream> {
     let held = fleet.upstreams.iter().filter(|(id, _)| holder.holds(id, share));
     held.map(|(id, upstream)| (Arc::clone(id), upstream.clone())).collect()
 }
@@ -132,16 +132,16 @@
 /// revision, and the list ends up equal to the same part of the list of an instance that holds
 /// everything.
 #[parameterized(one = { 3 }, two = { 5 }, three = { 9 })]
-fn a_part_of_the_list_ends_up_right(seed: u64) {
+fn a_part_of_the_list_converges(seed: u64) {
     let share = Share::from_halvings(2);
     let holder = InstanceSubset::new("edge-3");
     let holds = |id: &str, _: &str| holder.holds(id, share);
     let mut random = fastrand::Rng::with_seed(seed);
     let mut whole = Fleet::default();
     whole.replace(1, upstreams(400), &[], 0);
-    let mut mine = Fleet::default();
-    mine.adopt(1, pages(&whole, &holds), 0);
-    assert_eq!(mine.upstreams, part(&whole, holder, share));
+    let mut partial = Fleet::default();
+    partial.adopt(1, pages(&whole, &holds), 0);
+    assert_eq!(partial.upstreams, held_part(&whole, holder, share));
     let mut pushed: Vec<(u64, Delta)> = Vec::new();
     for revision in 2..400 {
         let number = random.usize(..450);
@@ -156,13 +156,13 @@
         for _ in 0..random.u32(..3) {
             let (since, delta) =
                 pushed[random.usize(pushed.len().saturating_sub(6)..pushed.len())].clone();
-            mine.patch(delta, since, 0);
+            partial.patch(delta, since, 0);
         }
         if revision % 40 == 0 {
-            let since = mine.revision;
-            mine.patch(whole.since_for(since, holds), since, 0);
-            assert_eq!(mine.revision, whole.revision);
-            assert_eq!(mine.upstreams, part(&whole, holder, share), "at {revision}");
+            let since = partial.revision;
+            partial.patch(whole.since_for(since, holds), since, 0);
+            assert_eq!(partial.revision, whole.revision);
+            assert_eq!(partial.upstreams, held_part(&whole, holder, share), "at {revision}");
         }
     }
 }
