--- a/tests/gateway/duties.rs
+++ b/tests/gateway/duties.rs
@@ -16,9 +16,9 @@
 
 /// Duration of the lease in the state exploration below, in time steps; its safety margin is one
 /// step.
-const TTL: u64 = 6;
+const TTL_STEPS: u64 = 6;
 /// Number of successive events that are explored.
-const DEPTH: usize = 16;
+const MAX_DEPTH: usize = 16;
 /// Number of instances that may hold the lease in the exploration.
 const INSTANCES: usize = 3;
 
@@ -34,7 +34,7 @@
 
 /// A write that the directory may execute at any later time.
 #[derive(Debug, Clone)]
-struct Late {
+struct DelayedWrite {
     by: usize,
     nonce: u64,
     lease: u64,
@@ -43,26 +43,26 @@
 
 /// Outcome of a call to the directory.
 #[derive(Debug, Clone, Copy)]
-enum Fate {
+enum CallOutcome {
     Done,
     AnswerLost,
     Lost,
-    Late,
+    Delayed,
 }
 
 #[derive(Debug, Clone)]
-struct World {
+struct State {
     now_ms: u64,
     entry: Option<Entry>,
     revision: u64,
-    late: Vec<Late>,
+    delayed: Vec<DelayedWrite>,
     leases: Vec<DutyLease>,
 }
 
-impl World {
-    fn new() -> World {
-        let leases = (0..INSTANCES).map(|_| DutyLease::new(TTL)).collect();
-        World { now_ms: 1, entry: None, revision: 0, late: Vec::new(), leases }
+impl State {
+    fn new() -> State {
+        let leases = (0..INSTANCES).map(|_| DutyLease::new(TTL_STEPS)).collect();
+        State { now_ms: 1, entry: None, revision: 0, delayed: Vec::new(), leases }
     }
 
     fn tick(&mut self) {
@@ -77,8 +77,8 @@
         Some(Holder { id: entry.by.to_string().into(), nonce: entry.nonce, token: entry.token })
     }
 
-    fn write(&mut self, late: Late) -> Option<u64> {
-        let Late { by, nonce, lease, until_ms } = late;
+    fn write(&mut self, write: DelayedWrite) -> Option<u64> {
+        let DelayedWrite { by, nonce, lease, until_ms } = write;
         if self.entry.is_some() || until_ms <= self.now_ms {
             return None;
         }
@@ -89,100 +89,105 @@
     }
 
     /// Lets one instance determine and perform the next step about its lease.
-    fn step(&mut self, by: usize, fate: Fate) {
+    fn step(&mut self, by: usize, outcome: CallOutcome) {
         let now_ms = self.now_ms;
         // No two writes have the same nonce or lease.
         let nonce = now_ms * 10 + by as u64;
         match self.leases[by].next_action(0, nonce, now_ms) {
-            Some(Action::Acquire { nonce }) => self.take(by, nonce, fate),
-            Some(Action::ReadBack) if matches!(fate, Fate::Done) => {
+            Some(Action::Acquire { nonce }) => self.take(by, nonce, outcome),
+            Some(Action::ReadBack) if matches!(outcome, CallOutcome::Done) => {
                 let holder = self.holder();
                 self.leases[by].note_read(holder.as_ref(), now_ms);
             }
-            Some(Action::Renew { lease }) => self.renew(by, lease, fate),
+            Some(Action::Renew { lease }) => self.renew(by, lease, outcome),
             _ => {}
         }
     }
 
-    fn take(&mut self, by: usize, nonce: u64, fate: Fate) {
+    fn take(&mut self, by: usize, nonce: u64, outcome: CallOutcome) {
         let now_ms = self.now_ms;
-        let write = Late { by, nonce, lease: nonce, until_ms: now_ms + TTL };
-        let tried = AcquireAttempt { nonce, lease: nonce, requested_ms: now_ms };
-        match fate {
-            Fate::Done => match self.write(write) {
-                Some(token) => self.leases[by].note_acquired(tried, token),
+        let write = DelayedWrite { by, nonce, lease: nonce, until_ms: now_ms + TTL_STEPS };
+        let attempt = AcquireAttempt { nonce, lease: nonce, requested_ms: now_ms };
+        match outcome {
+            CallOutcome::Done => match self.write(write) {
+                Some(token) => self.leases[by].note_acquired(attempt, token),
                 None => {
                     let holder = self.holder();
                     self.leases[by].note_holder(holder.as_ref(), now_ms);
                 }
             },
-            Fate::AnswerLost => {
+            CallOutcome::AnswerLost => {
                 self.write(write);
-                self.leases[by].note_outcome_unknown(tried);
+                self.leases[by].note_outcome_unknown(attempt);
             }
-            Fate::Lost => self.leases[by].note_outcome_unknown(tried),
-            Fate::Late => {
-                self.late.push(write);
-                self.leases[by].note_outcome_unknown(tried);
+            CallOutcome::Lost => self.leases[by].note_outcome_unknown(attempt),
+            CallOutcome::Delayed => {
+                self.delayed.push(write);
+                self.leases[by].note_outcome_unknown(attempt);
             }
         }
     }
 
-    fn renew(&mut self, by: usize, lease: u64, fate: Fate) {
+    fn renew(&mut self, by: usize, lease: u64, outcome: CallOutcome) {
         let now_ms = self.now_ms;
-        let arrives = matches!(fate, Fate::Done | Fate::AnswerLost);
+        let arrives = matches!(outcome, CallOutcome::Done | CallOutcome::AnswerLost);
         let is_there = self.entry.as_ref().is_some_and(|entry| entry.lease == lease);
         if let Some(entry) = self.entry.as_mut().filter(|entry| arrives && entry.lease == lease) {
-            entry.until_ms = now_ms + TTL;
+            entry.until_ms = now_ms + TTL_STEPS;
         }
-        match fate {
-            Fate::Done if is_there => self.leases[by].note_renewed(now_ms),
-            Fate::Done => self.leases[by].note_ended(now_ms),
+        match outcome {
+            CallOutcome::Done if is_there => self.leases[by].note_renewed(now_ms),
+            CallOutcome::Done => self.leases[by].note_ended(now_ms),
             _ => {}
         }
     }
 
     /// Lets an instance that watches the directory see the entry, or that it is gone.
-    fn see(&mut self, by: usize) {
+    fn observe(&mut self, by: usize) {
         let holder = self.holder();
         let now_ms = self.now_ms;
         self.leases[by].note_holder(holder.as_ref(), now_ms);
     }
 
     /// Returns all states that follow by one event.
-    fn next(&self) -> Vec<World> {
-        let mut worlds = Vec::new();
-        let mut add = |change: &dyn Fn(&mut World)| {
-            let mut world = self.clone();
-            change(&mut world);
-            worlds.push(world);
+    fn next(&self) -> Vec<State> {
+        let mut states = Vec::new();
+        let mut add = |change: &dyn Fn(&mut State)| {
+            let mut state = self.clone();
+            change(&mut state);
+            states.push(state);
         };
-        add(&World::tick);
+        add(&State::tick);
         for by in 0..INSTANCES {
-            add(&|world| world.see(by));
-            for fate in [Fate::Done, Fate::AnswerLost, Fate::Lost, Fate::Late] {
-                add(&|world| world.step(by, fate));
+            add(&|state| state.observe(by));
+            for outcome in [
+                CallOutcome::Done,
+                CallOutcome::AnswerLost,
+                CallOutcome::Lost,
+                CallOutcome::Delayed,
+            ] {
+                add(&|state| state.step(by, outcome));
             }
         }
-        for index in 0..self.late.len() {
-            add(&|world| {
-                let late = world.late.remove(index);
-                world.write(late);
+        for index in 0..self.delayed.len() {
+            add(&|state| {
+                let write = state.delayed.remove(index);
+                state.write(write);
             });
         }
-        worlds
+        states
     }
 
     /// Returns the instances that may act now, with their tokens.
-    fn acting(&self) -> Vec<(usize, u64)> {
+    fn active_holders(&self) -> Vec<(usize, u64)> {
         let tokens = self.leases.iter().enumerate();
         tokens.filter_map(|(by, lease)| Some((by, lease.token(self.now_ms)?))).collect()
     }
 
     fn check(&self) {
-        let acting = self.acting();
-        assert!(acting.len() <= 1, "two may act at {}: {self:?}", self.now_ms);
-        for (by, token) in acting {
+        let active_holders = self.active_holders();
+        assert!(active_holders.len() <= 1, "two may act at {}: {self:?}", self.now_ms);
+        for (by, token) in active_holders {
             let entry = self.entry.as_ref().expect("an instance that may act has an entry");
             assert_eq!((entry.by, entry.token), (by, token), "{self:?}");
         }
@@ -196,25 +201,26 @@
 #[test]
 fn in_every_order_of_events_one_instance_at_most_may_act() {
     let mut seen = HashSet::new();
-    let mut left = VecDeque::from([(World::new(), 0)]);
-    let most = std::env::var("SISKINROCK_LEASE_STATES").ok();
-    let most: usize = most.and_then(|most| most.parse().ok()).unwrap_or(60_000);
-    while let Some((world, depth)) = left.pop_front() {
-        for next in world.next() {
+    let mut queue = VecDeque::from([(State::new(), 0)]);
+    let max_states = std::env::var("SISKINROCK_LEASE_STATES").ok();
+    let max_states: usize =
+        max_states.and_then(|max_states| max_states.parse().ok()).unwrap_or(60_000);
+    while let Some((state, depth)) = queue.pop_front() {
+        for next in state.next() {
             next.check();
-            let is_new = seen.len() < most && seen.insert(format!("{next:?}"));
-            if is_new && depth + 1 < DEPTH {
-                left.push_back((next, depth + 1));
+            let is_new = seen.len() < max_states && seen.insert(format!("{next:?}"));
+            if is_new && depth + 1 < MAX_DEPTH {
+                queue.push_back((next, depth + 1));
             }
         }
     }
-    println!("{} states explored, up to {DEPTH} events deep", seen.len());
+    println!("{} states explored, up to {MAX_DEPTH} events deep", seen.len());
     assert!(seen.len() > 10_000);
 }
 
 /// An instance that was paused or suspended for longer than its lease does nothing under it.
 #[test]
-fn a_holder_that_was_paused_acts_only_by_a_lease_that_lasts() {
+fn a_paused_holder_acts_only_under_a_valid_lease() {
     let mut lease = DutyLease::new(3_000);
     lease.note_acquired(AcquireAttempt { nonce: 1, lease: 5, requested_ms: 1_000 }, 41);
     assert_eq!(lease.token(3_400), Some(41));
@@ -236,7 +242,7 @@
     assert_eq!(lease.next_action(2, 9, 9_600), Some(Action::Acquire { nonce: 9 }));
 }
 
-fn news(
+fn update(
     id: &str,
     incarnation: u64,
     monotonic_ms: u64,
@@ -254,26 +260,27 @@
 /// Messages arrive twice, late or not at all. The counts that an instance sent before it ended are
 /// kept, and none is counted again after its restart.
 #[parameterized(few = { 3, 7 }, some = { 30, 11 }, many = { 100, 13 })]
-fn counts_are_whole_whatever_becomes_of_messages(instances: usize, seed: u64) {
+fn counts_are_complete_despite_lost_and_duplicate_messages(instances: usize, seed: u64) {
     const START_MS: u64 = 1_000_000_000;
     // Wall clocks differ, some of them by seconds.
     let skew_ms = |index: usize| if index.is_multiple_of(5) { 1_400 } else { index as u64 % 3 };
     let mut random = fastrand::Rng::with_seed(seed);
     let mut usage = Usage::default();
-    let mut truth: BTreeMap<u64, u64> = BTreeMap::new();
+    let mut expected: BTreeMap<u64, u64> = BTreeMap::new();
     let mut counters: Vec<(u64, Counter)> = Vec::new();
     counters.resize_with(instances, || (1, Counter::default()));
     let mut sent: Vec<UsageUpdate> = Vec::new();
     for now_ms in (0..30_000).step_by(20) {
         counters[random.usize(..instances)].1.count("huka".into(), now_ms);
-        *truth.entry((START_MS + now_ms) / 5_000).or_insert(0) += 1;
+        *expected.entry((START_MS + now_ms) / 5_000).or_insert(0) += 1;
         if now_ms % 500 == 0 {
             for (index, (incarnation, counter)) in counters.iter_mut().enumerate() {
                 let wall_ms = START_MS + now_ms + skew_ms(index);
-                let told = news(&format!("edge-{index}"), *incarnation, now_ms, wall_ms, counter);
-                sent.push(told.clone());
+                let latest =
+                    update(&format!("edge-{index}"), *incarnation, now_ms, wall_ms, counter);
+                sent.push(latest.clone());
                 if random.u32(..5) > 0 {
-                    usage.apply(told, now_ms);
+                    usage.apply(latest, now_ms);
                 }
             }
         }
@@ -282,7 +289,7 @@
             let index = random.usize(..instances);
             let (incarnation, counter) = &mut counters[index];
             let wall_ms = START_MS + now_ms + skew_ms(index);
-            let last = news(&format!("edge-{index}"), *incarnation, now_ms, wall_ms, counter);
+            let last = update(&format!("edge-{index}"), *incarnation, now_ms, wall_ms, counter);
             usage.apply(last, now_ms);
             (*incarnation, *counter) = (*incarnation + 1, Counter::default());
         }
@@ -291,9 +298,9 @@
         }
     }
     for number in (START_MS / 5_000)..(START_MS + 20_000) / 5_000 {
-        let (counted, began) = (total(&usage, number), truth[&number]);
-        let off = counted.abs_diff(began) as f64 / began as f64;
-        assert!(off <= 0.05, "window {number}: {counted} of {began}");
+        let (counted, began) = (total(&usage, number), expected[&number]);
+        let deviation = counted.abs_diff(began) as f64 / began as f64;
+        assert!(deviation <= 0.05, "window {number}: {counted} of {began}");
     }
 }
 
@@ -314,7 +321,7 @@
 }
 
 const WINDOW_MS: u64 = 1_000;
-const LATE_MS: u64 = 4_000;
+const MAX_REPORT_DELAY_MS: u64 = 4_000;
 const LEASE_MS: u64 = 1_200;
 
 /// Starts gateways that perform duties, with a platform that accepts their calls.
@@ -325,7 +332,7 @@
         let bounds = format!(
             "[bounds]\nlease-ms = {LEASE_MS}\nreport-window-s = {}\nusage-late-s = {}",
             WINDOW_MS / 1_000,
-            LATE_MS / 1_000
+            MAX_REPORT_DELAY_MS / 1_000
         );
         let addr = cloud.addr;
         gateway.set("[bounds]", &bounds);
@@ -356,7 +363,7 @@
 }
 
 /// Asserts that all reports of a window are the same, and that no two holders use the same token.
-fn assert_sound(cloud: &Cloud) {
+fn assert_reports_consistent(cloud: &Cloud) {
     let seen = cloud.seen();
     let mut counts: BTreeMap<u64, Vec<u8>> = BTreeMap::new();
     let mut holders: BTreeMap<u64, String> = BTreeMap::new();
@@ -373,7 +380,7 @@
     let (running, cloud) = start(3).await;
     let ran = load(&running, Duration::from_secs(4)).await;
     wait_for("the last windows are reported", async || cloud.counted() >= ran).await;
-    assert_sound(&cloud);
+    assert_reports_consistent(&cloud);
     assert_eq!(cloud.counted(), ran);
     let held =
         running.gateways.iter().filter(|gateway| gateway.logged().contains("duties taken over"));
@@ -382,56 +389,56 @@
 
 /// The holder is killed, frozen past its lease or loses the platform's responses, twice in a row.
 #[parameterized(
-    killed = { Trouble::Killed },
-    frozen = { Trouble::Frozen },
-    silent = { Trouble::Fault(Fault::AnswerLost) },
-    busy = { Trouble::Fault(Fault::Busy) },
-    late = { Trouble::Fault(Fault::Late) },
-    store_silent = { Trouble::StoreSilent },
+    killed = { Disturbance::Killed },
+    frozen = { Disturbance::Frozen },
+    silent = { Disturbance::Fault(Fault::AnswerLost) },
+    busy = { Disturbance::Fault(Fault::Busy) },
+    late = { Disturbance::Fault(Fault::Late) },
+    store_silent = { Disturbance::StoreSilent },
 )]
 #[test_macro(tokio::test)]
-async fn one_report_a_window_whatever_becomes_of_the_holder(trouble: Trouble) {
+async fn one_report_a_window_whatever_becomes_of_the_holder(disturbance: Disturbance) {
     let (mut running, cloud) = start(3).await;
     load(&running, Duration::from_millis(1_500)).await;
     for _ in 0..2 {
         let holder = running.holder().await;
-        trouble.begin(&mut running, &cloud, holder);
+        disturbance.begin(&mut running, &cloud, holder);
         tokio::time::sleep(Duration::from_millis(2 * LEASE_MS)).await;
-        trouble.end(&mut running, &cloud, holder);
+        disturbance.end(&mut running, &cloud, holder);
         running.wait_until_ready().await;
         load(&running, Duration::from_millis(1_000)).await;
     }
     let newest = cloud.newest();
     wait_for("windows are reported again", async || cloud.newest() > newest + 2).await;
-    assert_sound(&cloud);
+    assert_reports_consistent(&cloud);
     cloud.assert_fences_rise();
 }
 
 /// A disturbance of the holder or the platform.
 #[derive(Debug, Clone, Copy)]
-enum Trouble {
+enum Disturbance {
     Killed,
     Frozen,
     Fault(Fault),
     StoreSilent,
 }
 
-impl Trouble {
+impl Disturbance {
     fn begin(self, running: &mut Running, cloud: &Cloud, holder: usize) {
         match self {
-            Trouble::Killed => running.gateways[holder].kill(),
-            Trouble::Frozen => running.gateways[holder].signal(libc::SIGSTOP),
-            Trouble::Fault(fault) => cloud.fail(fault),
-            Trouble::StoreSilent => running.site.store.fail(store::Fault::Silent),
+            Disturbance::Killed => running.gateways[holder].kill(),
+            Disturbance::Frozen => running.gateways[holder].signal(libc::SIGSTOP),
+            Disturbance::Fault(fault) => cloud.fail(fault),
+            Disturbance::StoreSilent => running.site.store.fail(store::Fault::Silent),
         }
     }
 
     fn end(self, running: &mut Running, cloud: &Cloud, holder: usize) {
         match self {
-            Trouble::Killed => running.gateways[holder].restart(),
-            Trouble::Frozen => running.gateways[holder].signal(libc::SIGCONT),
-            Trouble::Fault(_) => cloud.fail(Fault::None),
-            Trouble::StoreSilent => running.site.store.fail(store::Fault::None),
+            Disturbance::Killed => running.gateways[holder].restart(),
+            Disturbance::Frozen => running.gateways[holder].signal(libc::SIGCONT),
+            Disturbance::Fault(_) => cloud.fail(Fault::None),
+            Disturbance::StoreSilent => running.site.store.fail(store::Fault::None),
         }
     }
 }
