--- a/tests/gateway/rate_limit.rs
+++ b/tests/gateway/rate_limit.rs
@@ -13,19 +13,19 @@
 /// The rate that upstreams advertise.
 const LIMIT_PER_S: f64 = 6.0;
 /// Time after an upstream has advertised its rate from which the limit must be kept.
-const CONTACT: Duration = Duration::from_secs(3);
+const ENFORCED_AFTER: Duration = Duration::from_secs(3);
 /// Length of the spans over which requests are counted: 1.5 times the rate and five more are
 /// allowed.
 const SPAN: Duration = Duration::from_secs(4);
 /// How long callers send requests after the rate was advertised.
-const LOAD: Duration = Duration::from_secs(9);
+const LOAD_DURATION: Duration = Duration::from_secs(9);
 
 fn limiting() -> Signals {
     Signals { limit_per_s: Some(LIMIT_PER_S), ..Signals::default() }
 }
 
 /// Returns the maximum number of requests that an upstream received within any span from a time on.
-fn most_in_a_span(seen: &[Seen], from: Instant) -> usize {
+fn max_in_a_span(seen: &[Seen], from: Instant) -> usize {
     let at: Vec<Instant> = seen.iter().map(|seen| seen.at).filter(|at| *at >= from).collect();
     let within = |first: &Instant| {
         at.iter().filter(|other| *other >= first && other.duration_since(*first) < SPAN).count()
@@ -38,9 +38,9 @@
     (1.5 * LIMIT_PER_S * SPAN.as_secs_f64()) as usize + 5
 }
 
-fn assert_within(seen: &[Seen], named_at: Instant) {
-    let most = most_in_a_span(seen, named_at + CONTACT);
-    assert!(most <= allowed(), "{most} requests in 4 s, {} are allowed", allowed());
+fn assert_within(seen: &[Seen], advertised_at: Instant) {
+    let max_seen = max_in_a_span(seen, advertised_at + ENFORCED_AFTER);
+    assert!(max_seen <= allowed(), "{max_seen} requests in 4 s, {} are allowed", allowed());
 }
 
 /// Two of three services advertise a rate, and the third takes the remaining requests. Before rates
@@ -50,13 +50,14 @@
 #[test_macro(tokio::test)]
 async fn upstreams_that_limit_their_rate_get_no_more(instances: u8) {
     let running = support::start(instances).await;
-    let named_at = Instant::now();
+    let advertised_at = Instant::now();
     for service in &running.site.services[..2] {
         service.signal(limiting());
     }
-    let got = load::play(&running, CALL_EVERY, booking_or_look_up, named_at + LOAD).await;
+    let got =
+        load::play(&running, CALL_EVERY, booking_or_look_up, advertised_at + LOAD_DURATION).await;
     for service in &running.site.services[..2] {
-        assert_within(&service.seen(), named_at);
+        assert_within(&service.seen(), advertised_at);
     }
     let unserved = got.iter().filter(|got| got.status != 200).count();
     assert_eq!(
@@ -73,12 +74,13 @@
 #[test_macro(tokio::test)]
 async fn calls_beyond_the_rates_of_all_upstreams_are_refused_at_once(instances: u8) {
     let running = support::start(instances).await;
-    let named_at = Instant::now();
+    let advertised_at = Instant::now();
     running.site.services.iter().for_each(|service| service.signal(limiting()));
-    let got = load::play(&running, CALL_EVERY, booking_or_look_up, named_at + LOAD).await;
-    running.site.services.iter().for_each(|service| assert_within(&service.seen(), named_at));
+    let got =
+        load::play(&running, CALL_EVERY, booking_or_look_up, advertised_at + LOAD_DURATION).await;
+    running.site.services.iter().for_each(|service| assert_within(&service.seen(), advertised_at));
     let (served, refused): (Vec<&Got>, Vec<&Got>) = got.iter().partition(|got| got.status == 200);
-    let taken = running.site.services.len() as f64 * LIMIT_PER_S * LOAD.as_secs_f64();
+    let taken = running.site.services.len() as f64 * LIMIT_PER_S * LOAD_DURATION.as_secs_f64();
     assert!(
         served.len() as f64 >= 0.6 * taken,
         "{} calls served, where the limits allow {taken}",
@@ -103,15 +105,15 @@
 #[test_macro(tokio::test)]
 async fn repeats_keep_to_the_rate_as_well(fault: Fault) {
     let running = support::start(3).await;
-    let named_at = Instant::now();
+    let advertised_at = Instant::now();
     for service in &running.site.services[..2] {
         service.signal(limiting());
     }
     running.site.services[2].fail(fault);
     let look_up = |_| call("GET", "/look/seat");
-    let got = load::play(&running, CALL_EVERY, look_up, named_at + LOAD).await;
+    let got = load::play(&running, CALL_EVERY, look_up, advertised_at + LOAD_DURATION).await;
     for service in &running.site.services[..2] {
-        assert_within(&service.seen(), named_at);
+        assert_within(&service.seen(), advertised_at);
     }
     let refused = got.iter().filter(|got| got.status == 503);
     refused
@@ -124,11 +126,11 @@
 #[test_macro(tokio::test)]
 async fn streams_keep_to_the_rate(engines_crash: bool) {
     let running = support::start(3).await;
-    let named_at = Instant::now();
+    let advertised_at = Instant::now();
     running.site.engines.iter().for_each(|engine| engine.signal(limiting()));
     let crash = async {
         let mut crashed = 0;
-        while engines_crash && named_at.elapsed() < LOAD {
+        while engines_crash && advertised_at.elapsed() < LOAD_DURATION {
             tokio::time::sleep(Duration::from_millis(1_500)).await;
             running.site.engines[crashed % 2].fail(siskinrock_fakes::engine::Fault::Torn);
             tokio::time::sleep(Duration::from_millis(500)).await;
@@ -136,9 +138,9 @@
             crashed += 1;
         }
     };
-    let streams = load::play(&running, STREAM_EVERY, |_| plan(), named_at + LOAD);
+    let streams = load::play(&running, STREAM_EVERY, |_| plan(), advertised_at + LOAD_DURATION);
     let (got, ()) = tokio::join!(streams, crash);
-    running.site.engines.iter().for_each(|engine| assert_within(&engine.seen(), named_at));
+    running.site.engines.iter().for_each(|engine| assert_within(&engine.seen(), advertised_at));
     let served = got.iter().filter(|got| got.status == 200).count();
     assert!(served * 2 >= got.len(), "{served} of {} began", got.len());
     let refused = got.iter().filter(|got| got.status == 503);
@@ -149,13 +151,13 @@
 #[tokio::test]
 async fn the_rate_holds_while_instances_come_and_go() {
     let mut running = support::start(9).await;
-    let named_at = Instant::now();
+    let advertised_at = Instant::now();
     running.site.services.iter().for_each(|service| service.signal(limiting()));
     let fronts: Vec<_> = running.gateways.iter().map(|gateway| gateway.front).collect();
     let callers = tokio::spawn(async move {
         let mut asked = tokio::task::JoinSet::new();
         let mut number = 0;
-        while named_at.elapsed() < 2 * LOAD {
+        while advertised_at.elapsed() < 2 * LOAD_DURATION {
             let front = fronts[fastrand::usize(..fronts.len())];
             asked.spawn(load::ask(front, booking_or_look_up(number)));
             number += 1;
@@ -178,21 +180,22 @@
         }
     }
     let got = callers.await.expect("no caller panics");
-    running.site.services.iter().for_each(|service| assert_within(&service.seen(), named_at));
+    running.site.services.iter().for_each(|service| assert_within(&service.seen(), advertised_at));
     assert!(got.iter().filter(|got| got.status == 200).count() > 100);
 }
 
 /// An upstream that no longer advertises a rate takes its part of the requests again.
 #[tokio::test]
-async fn a_rate_that_is_no_longer_named_is_over() {
+async fn a_rate_that_is_no_longer_advertised_is_lifted() {
     let running = support::start(3).await;
     let limited = &running.site.services[0];
     limited.signal(limiting());
-    load::play(&running, CALL_EVERY, booking_or_look_up, Instant::now() + CONTACT).await;
+    load::play(&running, CALL_EVERY, booking_or_look_up, Instant::now() + ENFORCED_AFTER).await;
     limited.signal(Signals::default());
-    load::play(&running, CALL_EVERY, booking_or_look_up, Instant::now() + CONTACT).await;
+    load::play(&running, CALL_EVERY, booking_or_look_up, Instant::now() + ENFORCED_AFTER).await;
     let before = limited.seen().len();
-    let got = load::play(&running, CALL_EVERY, booking_or_look_up, Instant::now() + CONTACT).await;
+    let got =
+        load::play(&running, CALL_EVERY, booking_or_look_up, Instant::now() + ENFORCED_AFTER).await;
     let taken = limited.seen().len() - before;
     assert!(taken * 6 > got.len(), "{taken} of {} calls went to one of three services", got.len());
 }
@@ -205,7 +208,7 @@
     let crossing = &running.site.services[0];
     crossing.fail(Fault::Crossed);
     running.site.services.iter().for_each(|service| service.signal(limiting()));
-    let named_at = Instant::now();
-    load::play(&running, CALL_EVERY, booking_or_look_up, named_at + LOAD).await;
-    assert_within(&crossing.seen(), named_at);
+    let advertised_at = Instant::now();
+    load::play(&running, CALL_EVERY, booking_or_look_up, advertised_at + LOAD_DURATION).await;
+    assert_within(&crossing.seen(), advertised_at);
 }
