--- a/tests/gateway/watchers.rs
+++ b/tests/gateway/watchers.rs
@@ -54,9 +54,9 @@
 /// others rely on it.
 #[test]
 fn the_first_in_rank_asks_most_often() {
-    let turns = [0, 1, 2, 3].map(|ahead| WatchPosition { ahead, others: 3 });
-    assert_eq!(turns.map(WatchPosition::wait_ms), [2_000, 4_000, 6_000, 8_000]);
-    assert_eq!(turns.map(WatchPosition::batch_delay_ms), [400, 800, 1_200, 1_600]);
+    let positions = [0, 1, 2, 3].map(|ahead| WatchPosition { ahead, others: 3 });
+    assert_eq!(positions.map(WatchPosition::wait_ms), [2_000, 4_000, 6_000, 8_000]);
+    assert_eq!(positions.map(WatchPosition::batch_delay_ms), [400, 800, 1_200, 1_600]);
 }
 
 /// All instances start at once and read the directory; all but four then leave it to those, one by
@@ -64,11 +64,11 @@
 #[test]
 fn a_start_of_the_whole_fleet_makes_few_watchers_ask() {
     for count in [9, 73, 300, 1_000] {
-        let asked: usize = (4..count)
+        let calls: usize = (4..count)
             .rev()
             .map(|left| if watchers::should_check_directory(left, left - 1) { left } else { 0 })
             .sum();
-        assert!(asked <= 16, "{asked} calls of {count}");
+        assert!(calls <= 16, "{calls} calls of {count}");
     }
 }
 
