--- a/tests/gateway/backoff.rs
+++ b/tests/gateway/backoff.rs
@@ -14,18 +14,18 @@
 const BACKOFF_S: f64 = 3.0;
 const BACKOFF: Duration = Duration::from_secs(3);
 /// Time after a refusal from which the backoff must be kept.
-const BOUND: Duration = Duration::from_millis(500);
+const ENFORCED_AFTER: Duration = Duration::from_millis(500);
 /// Number of requests from one instance that may still reach an upstream during the backoff.
-const ALLOWED: usize = 2;
+const MAX_DURING_BACKOFF: usize = 2;
 
 fn backing_off() -> Signals {
     Signals { backoff_s: Some(BACKOFF_S), ..Signals::default() }
 }
 
 /// Returns the maximum number of requests received during the backoff that any request started.
-fn most_in_a_backoff(seen: &[Seen]) -> usize {
+fn max_in_a_backoff(seen: &[Seen]) -> usize {
     let within = |refused: &Seen| {
-        let backoff = refused.at + BOUND..refused.at + BACKOFF;
+        let backoff = refused.at + ENFORCED_AFTER..refused.at + BACKOFF;
         seen.iter().filter(|seen| backoff.contains(&seen.at)).count()
     };
     seen.iter().map(within).max().unwrap_or(0)
@@ -47,8 +47,8 @@
     others.iter().for_each(|other| other.fail(fault));
     let until = Instant::now() + 2 * BACKOFF;
     load::play(&running, CALL_EVERY, booking_or_look_up, until).await;
-    let most = most_in_a_backoff(&full.seen());
-    assert!(most <= ALLOWED, "{most} requests in a backoff");
+    let max_seen = max_in_a_backoff(&full.seen());
+    assert!(max_seen <= MAX_DURING_BACKOFF, "{max_seen} requests in a backoff");
 }
 
 /// Each of many instances is refused by itself, once in a backoff, apart from requests already
@@ -63,9 +63,9 @@
     let until = Instant::now() + 2 * BACKOFF;
     let look_up = |_| call("GET", "/look/seat");
     let got = load::play(&running, CALL_EVERY, look_up, until).await;
-    let most = usize::from(instances) * (2 + ALLOWED);
+    let limit = usize::from(instances) * (2 + MAX_DURING_BACKOFF);
     let seen = full.seen().len();
-    assert!(seen <= most, "{seen} requests in two backoffs of {instances} instances");
+    assert!(seen <= limit, "{seen} requests in two backoffs of {instances} instances");
     assert_eq!(got.iter().filter(|got| got.status != 200).count(), 0, "other upstreams take them");
 }
 
@@ -80,7 +80,7 @@
     services.iter().for_each(|service| service.signal(backing_off()));
     let since = Instant::now();
     let look_up = |_| call("GET", "/look/seat");
-    load::play(&running, CALL_EVERY, look_up, since + BOUND).await;
+    load::play(&running, CALL_EVERY, look_up, since + ENFORCED_AFTER).await;
     services.iter().for_each(|service| service.fail(Fault::None));
     services.iter().for_each(|service| service.signal(Signals::default()));
     let asked_at = Instant::now();
@@ -118,8 +118,8 @@
     };
     let streams = load::play(&running, STREAM_EVERY, |_| plan(), until);
     let (got, ()) = tokio::join!(streams, tear);
-    let most = most_in_a_backoff(&full.seen());
-    assert!(most <= ALLOWED, "{most} requests in a backoff");
+    let max_seen = max_in_a_backoff(&full.seen());
+    assert!(max_seen <= MAX_DURING_BACKOFF, "{max_seen} requests in a backoff");
     assert_eq!(got.iter().filter(|got| got.status != 200).count(), 0, "other upstreams take them");
 }
 
