--- a/tests/gateway/departures.rs
+++ b/tests/gateway/departures.rs
@@ -20,7 +20,7 @@
 
 /// An upstream may restart under the same id.
 #[test]
-fn a_later_incarnation_under_the_same_id_did_not_say_so() {
+fn a_later_incarnation_under_the_same_id_is_not_leaving() {
     let mut departures = Departures::default();
     let before = upstream(Some(1_000));
     assert!(departures.note(&Departure::of(&before), 0));
@@ -31,7 +31,7 @@
 
 /// An instance of a fleet that runs for months must not keep all upstreams that ever left.
 #[test]
-fn what_left_long_ago_is_forgotten() {
+fn old_departures_are_forgotten() {
     let mut departures = Departures::default();
     departures.note(&Departure::of(&upstream(None)), 0);
     departures.forget(30_000);
