--- a/src/gateway/duties.rs
+++ b/src/gateway/duties.rs
@@ -1,5 +1,6 @@
-//! Calls of duties, which only one instance at a time may perform: those that manage its lease, and
-//! those that it makes to the platform under the lease.
+//! Calls that perform the duties: tasks such as usage reports and worker orders that only one
+//! instance at a time may perform. They manage the lease that elects this instance, and send
+//! reports and orders to the platform under it.
 
 use std::sync::Arc;
 
@@ -32,7 +33,7 @@
 pub enum CreateOutcome<T> {
     /// The entry was written, at this revision.
     Created(u64),
-    /// There was an entry already.
+    /// An entry with this value already existed.
     Exists(T),
 }
 
@@ -53,7 +54,7 @@
     /// Returns the settings of the duties.
     fn duty_settings(&self) -> DutySettings;
 
-    /// Creates a lease in the directory that lasts so long without renewal; returns its id.
+    /// Creates a lease in the directory that lasts `ttl_ms` without renewal; returns its id.
     fn grant(&self, ttl_ms: u64) -> LocalBoxFuture<'_, Result<u64, Fault>>;
 
     /// Writes the holder's entry under a lease, if there is none.
--- a/src/gateway/policy/lease.rs
+++ b/src/gateway/policy/lease.rs
@@ -1,5 +1,5 @@
-//! The lease that elects one instance to perform the duties, which only one instance at a time may
-//! perform. Pure state machine without I/O.
+//! The lease that elects one instance to perform the duties: tasks such as usage reports and worker
+//! orders that only one instance at a time may perform. Pure state machine without I/O.
 //!
 //! The lease is an entry in the directory that is written only if it doesn't exist, and that the
 //! directory removes when it is not renewed in time. The revision of that write is the holder's
@@ -77,7 +77,8 @@
 }
 
 impl DutyLease {
-    /// Creates a lease that lasts so long without renewal and that nobody is known to hold.
+    /// Creates the state of a lease that lasts `ttl_ms` without renewal and that nobody is known to
+    /// hold.
     pub fn new(ttl_ms: u64) -> DutyLease {
         DutyLease { ttl_ms, held: None, unconfirmed: None, free_since_ms: Some(0) }
     }
--- a/src/gateway/policy/quarantine.rs
+++ b/src/gateway/policy/quarantine.rs
@@ -3,10 +3,10 @@
 //!
 //! When an upstream crashes, each request on it may be the cause or may only have shared the
 //! upstream. A poison request is told apart by crashing the next upstream as well, shortly after it
-//! starts there. Crashes are therefore summed per request fingerprint over all instances. A crash
-//! counts more when the run had just started, and not at all when other upstreams ended at about
-//! the same time from a common cause. A request that is served anywhere is cleared of all its
-//! crashes. See [docs/DESIGN.md](../../../docs/DESIGN.md), "Poison requests".
+//! starts there. Crashes are therefore summed per request fingerprint over all instances. An early
+//! crash, under a run that had just started, counts more, and a crash doesn't count when other
+//! upstreams ended at about the same time from a common cause. A request that is served anywhere is
+//! cleared of all its crashes. See [docs/DESIGN.md](../../../docs/DESIGN.md), "Poison requests".
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -20,7 +20,7 @@
 /// that lost one upstream to a poison request, and was retried on the same next upstream, would be
 /// quarantined as well.
 const MAX_CRASHES: u32 = 3;
-/// Points for a crash when the run had just started.
+/// Points for an early crash.
 const BEGUN_POINTS: u32 = 2;
 /// Points for a crash while the request was queued or its prompt was being processed. Most such
 /// requests only shared the upstream; one that crashes upstreams during prompt processing does so
@@ -73,8 +73,8 @@
     }
 }
 
-/// Returns whether one more crash may quarantine a request with so many points. Such a request
-/// should not be sent anywhere before its pending crashes are judged.
+/// Returns whether one more crash may quarantine a request that has `points`. Such a request should
+/// not be sent anywhere before its pending crashes are judged.
 pub fn may_quarantine(points: u32) -> bool {
     points + BEGUN_POINTS >= QUARANTINE_POINTS
 }
@@ -137,7 +137,7 @@
     version: u64,
     /// Fingerprints whose records have changed and must be sent to peers.
     unsent_records: Vec<Fingerprint>,
-    /// Early crashes, which peers must receive before any instance judges its own.
+    /// Early crashes to be sent to peers, before any instance judges its own.
     unsent_early_crashes: Vec<EarlyCrash>,
     /// Last fingerprint of the previous sync batch; the next batch continues after it.
     sync_cursor: Option<Fingerprint>,
@@ -281,8 +281,8 @@
         }
     }
 
-    /// Clears a request unconditionally, at an operator's command. Returns whether it had any
-    /// crashes.
+    /// Clears a request unconditionally, at an operator's command. Returns whether its record had
+    /// any crashes.
     pub fn lift(&mut self, fingerprint: Fingerprint, now_ms: u64) -> bool {
         self.pending.retain(|crash| crash.fingerprint != fingerprint);
         self.clear(fingerprint, now_ms)
--- a/src/gateway/policy/scaling.rs
+++ b/src/gateway/policy/scaling.rs
@@ -1,5 +1,5 @@
-//! Decides how many workers of a service each failure domain should have, and how many of them on
-//! demand or spot. Pure state machine without I/O.
+//! Decides how many workers of a service each failure domain should have, and how many of each
+//! kind: on-demand or spot. Pure state machine without I/O.
 //!
 //! The total follows the measured demand, but doesn't drop below the number of workers found at the
 //! start until demand has been observed for long enough. Spot workers cost less and may be
@@ -54,7 +54,7 @@
 pub struct WorkerOrder {
     /// The group.
     pub group: WorkerGroup,
-    /// The number of workers.
+    /// The number of workers that it should have.
     pub desired: u32,
 }
 
--- a/src/gateway/policy/subset.rs
+++ b/src/gateway/policy/subset.rs
@@ -131,7 +131,7 @@
     suitable_share(all, Share::ALL, usize::MAX)
 }
 
-/// Returns whether so few instances are left that this share leaves upstreams without any.
+/// Returns whether so few instances are left that this share leaves upstreams without any instance.
 pub fn is_too_narrow(share: Share, instances: usize) -> bool {
     share.0 > 0 && instances >> share.0 < MIN_HOLDERS / 2
 }
--- a/src/gateway/policy/usage.rs
+++ b/src/gateway/policy/usage.rs
@@ -85,7 +85,7 @@
 }
 
 impl Usage {
-    /// Applies an update from an instance; the instance applies its own updates in the same way.
+    /// Applies an update from an instance; this instance applies its own updates in the same way.
     pub fn apply(&mut self, update: UsageUpdate, now_ms: u64) {
         let clock = Clock { offset_ms: update.wall_ms.saturating_sub(now_ms), received_ms: now_ms };
         self.clocks.insert(Arc::clone(&update.id), clock);
