--- a/src/gateway/policy/lease.rs
+++ b/src/gateway/policy/lease.rs
@@ -11,8 +11,8 @@
 
 use std::sync::Arc;
 
-/// Fraction of the lease, one in so many, by which a holder stops before the end: a call that it
-/// sends is in flight for a while, and the directory's clock differs from its own.
+/// A holder stops when 1/`MARGIN_DIVISOR` of the lease is left: a call that it sends is in flight
+/// for a while, and the directory's clock differs from its own.
 const MARGIN_DIVISOR: u64 = 6;
 /// Renewals within one lease: a lost renewal is followed by two more.
 const RENEWALS_PER_LEASE: u64 = 3;
--- a/src/gateway/policy/subset.rs
+++ b/src/gateway/policy/subset.rs
@@ -36,8 +36,8 @@
     /// All upstreams.
     pub const ALL: Share = Share(0);
 
-    /// Returns the share of a service with so many upstreams that leaves the instance enough
-    /// upstreams, and each upstream enough of the instances.
+    /// Returns the smallest share of a service with so many upstreams that still leaves the
+    /// instance enough of the upstreams, and each upstream enough of the instances.
     pub fn of(upstreams: usize, instances: usize) -> Share {
         let halvings = |wanted: usize| wanted.max(1).ilog2() as u8;
         Share(halvings(upstreams / MIN_HELD_UPSTREAMS).min(halvings(instances / MIN_HOLDERS)))
--- a/src/gateway/policy/watchers.rs
+++ b/src/gateway/policy/watchers.rs
@@ -51,7 +51,7 @@
 /// Position of an instance among those that read the directory themselves.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct WatchPosition {
-    /// Number of others that read it and come first in rank.
+    /// Number of others that read it and are ahead in rank.
     pub ahead: usize,
     /// Number of all others that read it.
     pub others: usize,
@@ -75,7 +75,7 @@
         (ahead / WATCHERS) as u64 + 1
     }
 
-    /// Returns whether the instance should watch: few others come first in rank, or nobody else
+    /// Returns whether the instance should watch: few others are ahead in rank, or nobody else
     /// reads the directory.
     pub fn is_watcher(self) -> bool {
         self.ahead < WATCHERS || self.others == 0
--- a/tests/gateway/watchers.rs
+++ b/tests/gateway/watchers.rs
@@ -50,8 +50,8 @@
     assert!(calls_a_second(361) < 45.0, "{}", calls_a_second(361));
 }
 
-/// The first watcher notices changes within two seconds of which the directory sent no event; the
-/// others rely on it.
+/// The first watcher notices within two seconds those changes for which the directory sent no
+/// event; the others rely on it.
 #[test]
 fn the_first_in_rank_asks_most_often() {
     let positions = [0, 1, 2, 3].map(|ahead| WatchPosition { ahead, others: 3 });
