--- a/tests/gateway/watchers.rs
+++ b/tests/gateway/watchers.rs
@@ -24,7 +24,7 @@
 
 /// A watcher that the directory rejects no longer reads it, and the next in rank takes its place.
 #[test]
-fn the_next_in_rank_watches_for_one_that_is_turned_away() {
+fn the_next_in_rank_watches_for_one_that_is_rejected() {
     let all = ids(9);
     let watching = |first_hand: &[String]| -> Vec<String> {
         let watches =
@@ -32,8 +32,8 @@
         all.iter().filter(watches).cloned().collect()
     };
     let before = watching(&all);
-    let left: Vec<String> = all.iter().filter(|id| **id != before[0]).cloned().collect();
-    let after = watching(&left);
+    let remaining: Vec<String> = all.iter().filter(|id| **id != before[0]).cloned().collect();
+    let after = watching(&remaining);
     assert!(before[1..].iter().all(|id| after.contains(id)));
     assert_eq!(after.iter().filter(|id| !before.contains(id)).count(), 1);
     assert_eq!(watching(&[]), all, "if nobody reads the directory, all watch");
@@ -41,7 +41,7 @@
 
 /// While the store rejected all calls, 195 instances made 390 calls a second.
 #[test]
-fn a_directory_that_answers_nobody_is_asked_less_often_by_those_of_a_high_rank() {
+fn a_directory_that_responds_to_nobody_is_called_less_often_by_later_ranks() {
     assert_eq!([0, 3, 4, 8, 100].map(WatchPosition::backoff_factor), [1, 1, 2, 3, 26]);
     let calls_a_second = |count: usize| -> f64 {
         (0..count).map(|rank| 2.0 / WatchPosition::backoff_factor(rank) as f64).sum()
@@ -53,7 +53,7 @@
 /// The first watcher notices within two seconds those changes for which the directory sent no
 /// event; the others rely on it.
 #[test]
-fn the_first_in_rank_asks_most_often() {
+fn the_first_in_rank_polls_most_often() {
     let positions = [0, 1, 2, 3].map(|ahead| WatchPosition { ahead, others: 3 });
     assert_eq!(positions.map(WatchPosition::wait_ms), [2_000, 4_000, 6_000, 8_000]);
     assert_eq!(positions.map(WatchPosition::batch_delay_ms), [400, 800, 1_200, 1_600]);
@@ -62,18 +62,24 @@
 /// All instances start at once and read the directory; all but four then leave it to those, one by
 /// one.
 #[test]
-fn a_start_of_the_whole_fleet_makes_few_watchers_ask() {
+fn a_start_of_the_whole_fleet_makes_few_watchers_check() {
     for count in [9, 73, 300, 1_000] {
         let calls: usize = (4..count)
             .rev()
-            .map(|left| if watchers::should_check_directory(left, left - 1) { left } else { 0 })
+            .map(|remaining| {
+                if watchers::should_check_directory(remaining, remaining - 1) {
+                    remaining
+                } else {
+                    0
+                }
+            })
             .sum();
         assert!(calls <= 16, "{calls} calls of {count}");
     }
 }
 
 #[test]
-fn the_last_watchers_ask_when_one_of_them_loses_the_directory() {
+fn the_last_watchers_check_when_one_of_them_loses_the_directory() {
     assert!(watchers::should_check_directory(3, 2));
     assert!(watchers::should_check_directory(1, 0));
     assert!(!watchers::should_check_directory(2, 2), "nothing changed");
