--- a/tests/gateway/duties.rs
+++ b/tests/gateway/duties.rs
@@ -25,7 +25,7 @@
 /// The entry in the directory.
 #[derive(Debug, Clone)]
 struct Entry {
-    by: usize,
+    instance: usize,
     nonce: u64,
     lease: u64,
     token: u64,
@@ -35,7 +35,7 @@
 /// A write that the directory may execute at any later time.
 #[derive(Debug, Clone)]
 struct DelayedWrite {
-    by: usize,
+    instance: usize,
     nonce: u64,
     lease: u64,
     until_ms: u64,
@@ -74,61 +74,65 @@
 
     fn holder(&self) -> Option<Holder> {
         let entry = self.entry.as_ref()?;
-        Some(Holder { id: entry.by.to_string().into(), nonce: entry.nonce, token: entry.token })
+        Some(Holder {
+            id: entry.instance.to_string().into(),
+            nonce: entry.nonce,
+            token: entry.token,
+        })
     }
 
     fn write(&mut self, write: DelayedWrite) -> Option<u64> {
-        let DelayedWrite { by, nonce, lease, until_ms } = write;
+        let DelayedWrite { instance, nonce, lease, until_ms } = write;
         if self.entry.is_some() || until_ms <= self.now_ms {
             return None;
         }
         self.revision += 1;
         let token = self.revision;
-        self.entry = Some(Entry { by, nonce, lease, token, until_ms });
+        self.entry = Some(Entry { instance, nonce, lease, token, until_ms });
         Some(token)
     }
 
     /// Lets one instance determine and perform the next step about its lease.
-    fn step(&mut self, by: usize, outcome: CallOutcome) {
+    fn step(&mut self, instance: usize, outcome: CallOutcome) {
         let now_ms = self.now_ms;
         // No two writes have the same nonce or lease.
-        let nonce = now_ms * 10 + by as u64;
-        match self.leases[by].next_action(0, nonce, now_ms) {
-            Some(Action::Acquire { nonce }) => self.take(by, nonce, outcome),
+        let nonce = now_ms * 10 + instance as u64;
+        match self.leases[instance].next_action(0, nonce, now_ms) {
+            Some(Action::Acquire { nonce }) => self.take(instance, nonce, outcome),
             Some(Action::ReadBack) if matches!(outcome, CallOutcome::Done) => {
                 let holder = self.holder();
-                self.leases[by].note_read(holder.as_ref(), now_ms);
+                self.leases[instance].note_read(holder.as_ref(), now_ms);
             }
-            Some(Action::Renew { lease }) => self.renew(by, lease, outcome),
+            Some(Action::Renew { lease }) => self.renew(instance, lease, outcome),
             _ => {}
         }
     }
 
-    fn take(&mut self, by: usize, nonce: u64, outcome: CallOutcome) {
+    fn take(&mut self, instance: usize, nonce: u64, outcome: CallOutcome) {
         let now_ms = self.now_ms;
-        let write = DelayedWrite { by, nonce, lease: nonce, until_ms: now_ms + TTL_STEPS };
+        let write = DelayedWrite { instance, nonce, lease: nonce, until_ms: now_ms + TTL_STEPS };
         let attempt = AcquireAttempt { nonce, lease: nonce, requested_ms: now_ms };
         match outcome {
             CallOutcome::Done => match self.write(write) {
-                Some(token) => self.leases[by].note_acquired(attempt, token),
+                Some(token) => self.leases[instance].note_acquired(attempt, token),
                 None => {
                     let holder = self.holder();
-                    self.leases[by].note_holder(holder.as_ref(), now_ms);
+                    self.leases[instance].note_holder(holder.as_ref(), now_ms);
                 }
             },
             CallOutcome::AnswerLost => {
                 self.write(write);
-                self.leases[by].note_outcome_unknown(attempt);
+                self.leases[instance].note_outcome_unknown(attempt);
             }
-            CallOutcome::Lost => self.leases[by].note_outcome_unknown(attempt),
+            CallOutcome::Lost => self.leases[instance].note_outcome_unknown(attempt),
             CallOutcome::Delayed => {
                 self.delayed.push(write);
-                self.leases[by].note_outcome_unknown(attempt);
+                self.leases[instance].note_outcome_unknown(attempt);
             }
         }
     }
 
-    fn renew(&mut self, by: usize, lease: u64, outcome: CallOutcome) {
+    fn renew(&mut self, instance: usize, lease: u64, outcome: CallOutcome) {
         let now_ms = self.now_ms;
         let arrives = matches!(outcome, CallOutcome::Done | CallOutcome::AnswerLost);
         let is_there = self.entry.as_ref().is_some_and(|entry| entry.lease == lease);
@@ -136,17 +140,17 @@
             entry.until_ms = now_ms + TTL_STEPS;
         }
         match outcome {
-            CallOutcome::Done if is_there => self.leases[by].note_renewed(now_ms),
-            CallOutcome::Done => self.leases[by].note_ended(now_ms),
+            CallOutcome::Done if is_there => self.leases[instance].note_renewed(now_ms),
+            CallOutcome::Done => self.leases[instance].note_ended(now_ms),
             _ => {}
         }
     }
 
     /// Lets an instance that watches the directory see the entry, or that it is gone.
-    fn observe(&mut self, by: usize) {
+    fn observe(&mut self, instance: usize) {
         let holder = self.holder();
         let now_ms = self.now_ms;
-        self.leases[by].note_holder(holder.as_ref(), now_ms);
+        self.leases[instance].note_holder(holder.as_ref(), now_ms);
     }
 
     /// Returns all states that follow by one event.
@@ -158,15 +162,15 @@
             states.push(state);
         };
         add(&State::tick);
-        for by in 0..INSTANCES {
-            add(&|state| state.observe(by));
+        for instance in 0..INSTANCES {
+            add(&|state| state.observe(instance));
             for outcome in [
                 CallOutcome::Done,
                 CallOutcome::AnswerLost,
                 CallOutcome::Lost,
                 CallOutcome::Delayed,
             ] {
-                add(&|state| state.step(by, outcome));
+                add(&|state| state.step(instance, outcome));
             }
         }
         for index in 0..self.delayed.len() {
@@ -181,15 +185,15 @@
     /// Returns the instances that may act now, with their tokens.
     fn active_holders(&self) -> Vec<(usize, u64)> {
         let tokens = self.leases.iter().enumerate();
-        tokens.filter_map(|(by, lease)| Some((by, lease.token(self.now_ms)?))).collect()
+        tokens.filter_map(|(instance, lease)| Some((instance, lease.token(self.now_ms)?))).collect()
     }
 
     fn check(&self) {
         let active_holders = self.active_holders();
         assert!(active_holders.len() <= 1, "two may act at {}: {self:?}", self.now_ms);
-        for (by, token) in active_holders {
+        for (instance, token) in active_holders {
             let entry = self.entry.as_ref().expect("an instance that may act has an entry");
-            assert_eq!((entry.by, entry.token), (by, token), "{self:?}");
+            assert_eq!((entry.instance, entry.token), (instance, token), "{self:?}");
         }
     }
 }
@@ -253,7 +257,7 @@
     UsageUpdate { id: id.into(), incarnation, monotonic_ms, wall_ms, slots }
 }
 
-fn total(usage: &Usage, number: u64) -> u64 {
+fn counted_in_window(usage: &Usage, number: u64) -> u64 {
     usage.counts_in(Window { number, length_ms: 5_000 }).values().sum()
 }
 
@@ -298,9 +302,9 @@
         }
     }
     for number in (START_MS / 5_000)..(START_MS + 20_000) / 5_000 {
-        let (counted, began) = (total(&usage, number), expected[&number]);
-        let deviation = counted.abs_diff(began) as f64 / began as f64;
-        assert!(deviation <= 0.05, "window {number}: {counted} of {began}");
+        let (counted, started) = (counted_in_window(&usage, number), expected[&number]);
+        let deviation = counted.abs_diff(started) as f64 / started as f64;
+        assert!(deviation <= 0.05, "window {number}: {counted} of {started}");
     }
 }
 
--- a/tests/gateway/permits.rs
+++ b/tests/gateway/permits.rs
@@ -90,10 +90,10 @@
     fn considered_alive(&self, me: usize, now_ms: u64) -> BTreeSet<usize> {
         let then_ms = now_ms.saturating_sub(DETECTION_MS);
         let is_known = |other: &usize| {
-            let has_met =
+            let is_settled =
                 self.instances[me].started_ms + DETECTION_MS <= now_ms || now_ms < DETECTION_MS;
             *other == me
-                || (has_met
+                || (is_settled
                     && self.is_running(*other, then_ms)
                     && self.can_reach(me, *other, then_ms))
         };
@@ -103,8 +103,8 @@
     /// Returns the number of other instances that stopped responding recently.
     fn silent(&self, me: usize, considered_alive: &BTreeSet<usize>, now_ms: u64) -> usize {
         let is_old = now_ms.saturating_sub(self.instances[me].started_ms) > DETECTION_MS;
-        let lasts_short = now_ms < 8_000 + POSSIBLY_ALIVE_MS;
-        if is_old && lasts_short { self.instances.len() - considered_alive.len() } else { 0 }
+        let is_recent = now_ms < 8_000 + POSSIBLY_ALIVE_MS;
+        if is_old && is_recent { self.instances.len() - considered_alive.len() } else { 0 }
     }
 
     /// Returns whether an instance may send one request.
@@ -118,12 +118,14 @@
             rate_limit::bucket_owner(UPSTREAM, ids).cloned().expect("an instance knows itself");
         let owner = self.instances.iter().position(|other| other.id == owner).unwrap();
         let permit = if self.is_running(owner, now_ms) && self.can_reach(me, owner, now_ms) {
-            let seen = self.considered_alive(owner, now_ms);
-            let liveness =
-                Liveness { alive: seen.len(), silent: self.silent(owner, &seen, now_ms) };
-            let lives_ms = now_ms - self.instances[owner].started_ms;
+            let owner_considers_alive = self.considered_alive(owner, now_ms);
+            let liveness = Liveness {
+                alive: owner_considers_alive.len(),
+                silent: self.silent(owner, &owner_considers_alive, now_ms),
+            };
+            let uptime_ms = now_ms - self.instances[owner].started_ms;
             let limiter = &mut self.instances[owner].limiter;
-            limiter.request_permit(&Arc::from(UPSTREAM), rate, liveness, lives_ms)
+            limiter.request_permit(&Arc::from(UPSTREAM), rate, liveness, uptime_ms)
         } else {
             Permit::Wait { after_ms: 250 }
         };
--- a/tests/gateway/subset.rs
+++ b/tests/gateway/subset.rs
@@ -45,9 +45,9 @@
     for holder in holders(instances) {
         let held = all.iter().filter(|upstream| holder.holds(&upstream.id, share));
         let held: Vec<&str> = held.map(|upstream| &*upstream.id).collect();
-        let least = if share.is_all() { count } else { 180 };
+        let min_held = if share.is_all() { count } else { 180 };
         let is_bounded = held.len() <= 700 || instances < 100;
-        assert!(held.len() >= least && is_bounded, "{} of {count}", held.len());
+        assert!(held.len() >= min_held && is_bounded, "{} of {count}", held.len());
         held.into_iter().for_each(|id| *held_by.entry(id).or_insert(0) += 1);
     }
     assert_eq!(held_by.len(), count, "each upstream is held by an instance");
