--- a/src/gateway/control.rs
+++ b/src/gateway/control.rs
@@ -1,11 +1,13 @@
-//! The control thread: it keeps the configuration, the list of upstreams and the peers new, and
-//! publishes what traffic reads.
+//! The control thread: keeps the configuration, the upstream list and the peer membership up to date, and
+//! publishes snapshots of them for request handling.
 //!
-//! Its controllers share one blackboard. `directory` follows the directory and keeps the registration;
-//! `exchange` keeps the membership and exchanges loads with peers; `changes` tells peers what is newer, and
-//! `knowledge` fetches it from them; `shares` says how much of the large services is held here; `duties`
-//! does what one instance at a time may do; `permits`, `signals`, `quarantine` and `successors` each keep
-//! what upstreams or requests have caused.
+//! Its tasks share one state. `directory` watches the directory and maintains the registration there;
+//! `exchange` runs the membership protocol and exchanges load updates with peers; `changes` pushes newer
+//! configurations and upstreams to peers, and `knowledge` fetches them from peers; `shares` decides how many
+//! upstreams of large services this instance holds; `duties` runs the tasks that only one instance may run
+//! at a time; `permits` enforces the rate limits that upstreams announce; `signals` distributes what
+//! upstreams announce in their answers; `quarantine` tracks requests that crash upstreams; `successors`
+//! searches for restarted engines while the directory is unreachable.
 
 mod changes;
 mod directory;
@@ -52,105 +54,114 @@
 use super::view::{Front, Shared, View};
 use crate::clock::Clock;
 
-/// How often at the most traffic gets a new picture: peers' news come in bursts.
+/// The minimum interval between two published snapshots: updates from peers arrive in bursts.
 const PUBLISH_MS: u64 = 10;
-/// How long a loss that a peer told counts: the list of upstreams drops what is gone within this
-/// time.
+/// How long the loss of an upstream is remembered: within this time the upstream list drops those that are
+/// really gone.
 const LOST_TOLD_MS: u64 = 4_000;
 
-/// What all controllers read and write.
+/// The state that all tasks of the control thread share.
 struct Board {
     config: Option<Arc<Config>>,
     fleet: Fleet,
-    /// Engines that the silent directory does not list yet.
+    /// Restarted engines that were found at their addresses while the directory was unreachable, and that it
+    /// does not list yet.
     found: Found,
     has_fleet: bool,
     membership: Membership,
     loads: Loads,
     /// Requests that crash upstreams.
     quarantine: Quarantine,
-    /// The version of it that traffic has.
+    /// The version of `quarantine` in the published snapshot.
     quarantine_version: u64,
-    /// The token buckets that this instance owns, for all.
+    /// The token buckets of which this instance is the owner for the whole fleet.
     limiter: Limiter,
-    /// The rates that upstreams named to any instance.
+    /// The rate limits that upstreams announced to any instance.
     named_rates: NamedRates,
-    /// Upstreams that said to any instance that they leave.
+    /// Upstreams that announced to any instance that they are shutting down.
     departures: Departures,
-    /// Requests of this instance for permits that others have not answered yet.
+    /// Permit requests to other instances that are not answered yet, by number.
     permits: BTreeMap<u64, oneshot::Sender<Permit>>,
-    /// The number of the last such request.
+    /// The number of the last permit request.
     permit_number: u64,
-    /// Other instances that hear from the directory.
+    /// How many other instances have a working directory watch.
     first_hand: usize,
-    /// Upstreams that any instance lost, with the time until which that counts.
+    /// Upstreams that any instance recently lost, with the time until which each loss is remembered.
     lost: BTreeMap<Arc<str>, u64>,
-    /// The instances that callers are sent to.
+    /// The instances that accept callers.
     fronts: Arc<Vec<Front>>,
-    /// The phase of this instance as of when they were worked out.
+    /// The phase of this instance when `fronts` was computed.
     fronts_phase: Phase,
-    /// The others of this failure domain that place requests, also while they start or stop.
+    /// The other instances of this failure domain that route requests, including those that are starting or
+    /// stopping.
     placing_near: Vec<SocketAddr>,
-    /// Whether this instance is one of those.
+    /// Whether this instance routes requests.
     is_placing: bool,
     phase: Phase,
     is_directory_lost: bool,
     /// When the directory last answered.
     answered_ms: u64,
+    /// The directory's lease on this instance's registration.
     lease: Option<u64>,
+    /// Whether this instance is one of those that watch the directory, also while it does not answer.
     is_watching: bool,
-    /// Peers heard of changes while this instance did not: the outage was its own.
+    /// Whether peers received changes while the directory did not answer this instance: then only this
+    /// instance was cut off.
     is_outage_own: bool,
+    /// The sequence number of the last load update.
     messages: u64,
+    /// The load that was last reported to peers.
     told: Told,
-    /// Whether the last whole message on the traffic here said that there is none.
+    /// Whether the last full load update reported no load at all.
     has_told_nothing: bool,
-    /// What peers were told that this instance knows.
+    /// The versions that were last announced to peers.
     told_versions: Versions,
-    /// The revisions of the list that were pushed last.
+    /// The upstream list revisions of the last pushes.
     pushed: VecDeque<u64>,
-    /// What is new came from the directory, so that others don't have it yet.
+    /// Whether the newest versions came from the directory, so that other failure domains may lack them.
     is_first_to_tell: bool,
+    /// Since when a peer is known to have newer versions.
     behind_since_ms: Option<u64>,
     is_fetching_config: bool,
     is_fetching_list: bool,
-    /// Until when no list is fetched, after a fetch that brought nothing.
+    /// The earliest time of the next list fetch, after a failed one.
     list_retry_ms: u64,
-    /// Instances that hold the whole list, as others told.
+    /// Instances that hold the full upstream list, as reported by peers.
     list_holders_told: VecDeque<SocketAddr>,
-    /// What `fleet` holds.
+    /// Which part of the upstream list `fleet` holds.
     part: Part,
-    /// Whether more changed in that than went into a message.
+    /// Whether a peer had more changes of that part than fit into a message.
     is_behind: bool,
-    /// The share of the large services that is to be fetched.
+    /// The share of the large services to fetch, if it differs from the share held.
     wanted_share: Option<Share>,
-    /// Until when this instance holds more of them than its rank asks for.
+    /// Until when this instance does not narrow its share, after it ran out of upstreams.
     wide_until_ms: u64,
-    /// Since when it has no reason to hold all of them.
+    /// Since when this instance's rank does not require it to hold all upstreams.
     narrows_since_ms: Option<u64>,
-    /// Since when too few instances hear from the directory.
+    /// Since when too few instances have a working directory watch.
     few_watch_since_ms: Option<u64>,
-    /// Upstreams of large services that traffic knows for a moment although this instance doesn't hold them.
+    /// Upstreams outside this instance's share that were looked up for a request, published for a short time.
     guests: BTreeMap<Arc<str>, Guest>,
-    /// Grows with each of them.
+    /// Counts the changes of `guests`.
     guest_changes: u64,
-    /// What traffic's list was made from.
+    /// The inputs of the published upstream list.
     published: Option<Published>,
-    /// The share that suits the fleet, and of which changes and how many members that holds.
+    /// The suitable share of the large services, cached with its inputs: the change count of `fleet` and the
+    /// number of live peers.
     suitable: Option<((u64, usize), Share)>,
-    /// The lease of the duties that one instance at a time has.
+    /// The lease on the duties that only one instance may run at a time.
     duty_lease: DutyLease,
-    /// Who holds it, as the directory last said.
+    /// The holder of that lease, as last read from the directory.
     duty_holder: Option<Holder>,
-    /// What this instance counts for the report of usage.
+    /// The requests that this instance counts for the usage report.
     counter: Counter,
-    /// What all counted, if this instance may have to report it.
+    /// The counts of all instances, in case this one has to report them.
     usage: Usage,
-    /// The last window that this instance reported.
+    /// The last usage window that this instance reported.
     reported_window: Option<u64>,
 }
 
-/// What a list for traffic was made from; a list that is made from the same is the same.
+/// The inputs of a published upstream list; equal inputs give equal lists.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Published {
     fleet: u64,
@@ -159,7 +170,7 @@
     share: Share,
 }
 
-/// The control thread's state.
+/// The control thread.
 pub struct Control {
     settings: Settings,
     me: Registration,
@@ -170,21 +181,22 @@
     clock: Clock,
     log: slog::Logger,
     board: RefCell<Board>,
-    /// Ends a watch that peers have overtaken.
+    /// Restarts a directory watch that lags behind peers.
     broken_watch: Notify,
-    /// Has a watch ask at once whether the directory still answers, since it doesn't answer another.
+    /// Makes the directory watch check at once whether the directory still answers, since it stopped
+    /// answering another instance.
     doubted_directory: Notify,
-    /// Asks for a new picture for traffic.
+    /// Requests that a new snapshot be published.
     dirty: Notify,
-    /// Tells that there are rumors.
+    /// Signals that rumors wait to be sent.
     rumors: Notify,
-    /// Tells that this instance knows a newer configuration or list.
+    /// Signals that this instance has a newer configuration or upstream list to announce.
     newer: Notify,
     socket: RefCell<Option<Rc<UdpSocket>>>,
 }
 
 impl Control {
-    /// A thread that knows nothing yet.
+    /// Creates the control thread's state, without configuration and upstreams.
     pub fn new(
         settings: Settings,
         directory: Box<dyn Directory>,
@@ -280,7 +292,7 @@
         })
     }
 
-    /// Starts all controllers on the current local set.
+    /// Starts all control tasks on the current local set.
     pub fn start(self: &Rc<Control>, socket: UdpSocket) {
         let socket = Rc::new(socket);
         *self.socket.borrow_mut() = Some(Rc::clone(&socket));
@@ -301,30 +313,30 @@
         tokio::task::spawn_local(Rc::clone(self).publish_changes());
     }
 
-    /// Begins a planned stop: peers leave this instance out of their answers at once.
+    /// Begins a planned stop: peers stop naming this instance to callers at once.
     pub fn stop(&self) {
         self.board.borrow_mut().phase = Phase::Stopping;
         self.publish();
     }
 
-    /// Tells peers that this instance ends now, so that they need not find out.
+    /// Announces to peers that this instance exits now, so that they need not detect it.
     pub fn leave(&self) {
         self.board.borrow_mut().membership.leave(&mut fastrand::Rng::new());
         self.flush();
     }
 
-    /// Removes the registration.
+    /// Removes this instance's registration from the directory.
     pub async fn release(&self) {
         let lease = self.board.borrow_mut().lease.take();
         if let Some(lease) = lease
             && let Err(fault) = self.directory.release(lease).await
         {
-            slog::info!(self.log, "registration not removed; it ends with its lease";
+            slog::info!(self.log, "could not remove the registration; it expires with its lease";
                 "detail" => %fault);
         }
     }
 
-    /// Takes on a configuration that is newer than the one in force; it never goes back.
+    /// Puts a configuration into force if it is newer than the current one; versions never go back.
     fn take_config(&self, config: Arc<Config>, from: &str) {
         let mut board = self.board.borrow_mut();
         let known = board.config.as_ref().map_or(0, |known| known.version);
@@ -398,8 +410,9 @@
         }
     }
 
-    /// The share of the large services that traffic uses, also where this instance holds all for others.
-    /// It takes a look at all upstreams, so it is kept until they or the members change.
+    /// The share of the large services that request handling uses, also on an instance that holds all
+    /// upstreams on behalf of others. It is computed from all upstreams, so it is cached until they or the
+    /// members change.
     fn traffic_share(board: &mut Board) -> Share {
         if !board.part.share.is_all() || board.part.large.is_empty() {
             return board.part.share;
@@ -415,7 +428,7 @@
         }
     }
 
-    /// The list of upstreams for traffic, which is made anew only if something changed.
+    /// The upstream list for request handling, rebuilt only if one of its inputs changed.
     fn traffic_list(&self, board: &mut Board, share: Share, before: &Arc<Fleet>) -> Arc<Fleet> {
         let published = Published {
             fleet: board.fleet.changes(),
@@ -440,7 +453,7 @@
         Arc::new(Fleet::of(board.fleet.revision, upstreams))
     }
 
-    /// Follows what changed among the members: who takes callers, and whose load has ended.
+    /// Applies membership changes: drops the load of dead peers, and updates which instances accept callers.
     fn note_members(&self, board: &mut Board) {
         let now_ms = self.clock.now_ms();
         let changed = board.membership.take_changed();
@@ -462,7 +475,7 @@
         self.note_fronts(board);
     }
 
-    /// Works out where callers are sent, and who hears of loads here.
+    /// Computes which instances accept callers, and which peers receive this instance's load updates.
     fn note_fronts(&self, board: &mut Board) {
         let me = board.membership.my_card();
         let ready = board.membership.alive().filter(|member| member.standing == Standing::Alive);
@@ -489,9 +502,9 @@
         board.placing_near = placing_near;
     }
 
-    /// Has this instance's own watch checked if another one has lost the directory: a watch waits for
-    /// seconds, and as long as one instance takes the directory for heard, nobody looks for engines
-    /// that it doesn't list.
+    /// Checks this instance's own directory watch if another instance has lost the directory: a watch waits
+    /// for seconds, and as long as one instance believes that its watch works, nobody searches for engines
+    /// that the directory does not list.
     fn doubt_directory(&self, board: &mut Board) {
         let first_hand =
             board.membership.alive().filter(|member| member.card.is_first_hand).count();
@@ -501,7 +514,7 @@
         }
     }
 
-    /// Publishes what changed, after a moment in which more may come.
+    /// Publishes a new snapshot after changes, at a limited rate so that bursts are combined.
     async fn publish_changes(self: Rc<Control>) {
         loop {
             self.dirty.notified().await;
@@ -510,7 +523,7 @@
         }
     }
 
-    /// What this instance knows, and how old it may be.
+    /// Records gauges of the versions, sizes and age of the state.
     fn note_gauges(&self, now_ms: u64) {
         let board = self.board.borrow();
         let versions = Control::versions(&board);
@@ -526,13 +539,13 @@
         self.metrics.gauge("directory_answer_age_ms", age_ms);
     }
 
-    /// Whether this instance or a peer hears from the directory.
+    /// Whether this instance or a live peer has a working directory watch.
     fn is_directory_heard(board: &Board) -> bool {
         let mut alive = board.membership.alive();
         Control::is_first_hand(board) || alive.any(|member| member.card.is_first_hand)
     }
 
-    /// Whether the directory answers this instance, so that it hears of changes by itself.
+    /// Whether this instance watches the directory and the directory answers it.
     fn is_first_hand(board: &Board) -> bool {
         board.is_watching && !board.is_directory_lost
     }
@@ -545,8 +558,8 @@
     }
 }
 
-/// The first version of what an instance says of itself: the time of day, which is later than at its
-/// last start. If it isn't, since clocks are set back, its peers' answers raise it.
+/// The initial version of an instance's membership entry: the wall clock time, which is later than at its
+/// previous start. If the clock was set back, the peers' answers raise the version.
 fn start_version() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map_or(1, |since| since.as_millis() as u64)
--- a/src/gateway/control/changes.rs
+++ b/src/gateway/control/changes.rs
@@ -1,5 +1,5 @@
-//! The controller that tells peers what is newer: configurations, and changes of the list of upstreams to
-//! those that they concern.
+//! Announces newer configurations to peers, and pushes changes of the upstream list to the peers that hold
+//! the changed upstreams.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -12,26 +12,28 @@
 use super::exchange::NEWS_MS;
 use super::{Board, Control, shares};
 
-/// The longest list of changes that is pushed; a longer one is fetched by those that need it.
+/// The maximum encoded size of pushed changes; if there are more, peers fetch them.
 const PUSHED_BYTES: usize = 8 << 10;
-/// Peers of the same failure domain that are told of what is newer; each tells as many, so that all
+/// How many peers of the same failure domain receive an update; each forwards it to as many, so that all
 /// have it after a few hops.
 const NEWER_NEAR: usize = 3;
-/// One of so many instances also tells one of another failure domain: bytes between them are paid
-/// for, and whoever hears from the directory itself tells all of them.
+/// One of this many instances also forwards an update to one peer of another failure domain: traffic between
+/// domains is billed, and the instance that read the update from the directory sends it to all domains.
 const NEWER_FAR: u32 = 4;
-/// Pushes of which each repeats the changes, its own included: who missed one uses the next. Whoever missed
-/// more fetches; repeated for longer, each change of a list of thousands comes a dozen times.
+/// In how many consecutive pushes a change is contained: a peer that missed one push catches up with the
+/// next, and one that missed more fetches the changes. With more repetition, each change of a list of
+/// thousands of upstreams arrived a dozen times.
 const PUSHES_REPEATED: usize = 2;
-/// Instances that push changes of large services to those that hold a part of them: the first in rank of
-/// those that hear from the directory, and one for what gets lost.
+/// How many instances push changes of large services to the instances that hold a share of them: the first
+/// in rank of those that watch the directory, and one more in case datagrams are lost.
 const PUSHERS: usize = 2;
-/// How often, on average, an instance asks what it was not told: of a service of which it holds a part,
-/// or because a message was lost.
+/// The mean interval at which an instance asks for changes that it did not receive, because it holds only a
+/// share of a service or because a datagram was lost.
 const ASK_MS: u64 = 1_000;
 
 impl Control {
-    /// Tells a few peers that this instance has a newer configuration or list of upstreams.
+    /// Sends a few peers the versions and recent changes whenever this instance has a newer configuration or
+    /// upstream list.
     pub(super) async fn tell_newer(self: Rc<Control>) {
         loop {
             self.newer.notified().await;
@@ -46,7 +48,7 @@
             }
             let since = board.pushed.front().copied().unwrap_or(0);
             let changes = self.changes(&mut board);
-            // Those that hold a part of the list are told that part, below.
+            // Peers that hold only a part of the list receive the changes of that part, below.
             let hears = |card: &Card| is_config_new || card.share.is_all();
             let alive = board.membership.alive().map(|member| &member.card);
             let near = alive.filter(|card| hears(card)).map(|card| &card.registration);
@@ -69,7 +71,7 @@
         }
     }
 
-    /// What changed lately in the list of upstreams, if that is not too long.
+    /// A message with the recent changes of the upstream list, or only with its revision if they are too long.
     fn changes(&self, board: &mut Board) -> Changes {
         let Versions { config, fleet } = Control::versions(board);
         let since = board.pushed.front().copied().unwrap_or(0);
@@ -92,7 +94,8 @@
         if is_short(&delta) { Changes { since, fleet: delta, ..nothing } } else { nothing }
     }
 
-    /// What changed since a revision, for each instance that holds a part of it.
+    /// The changes since a revision for each peer that holds only a part of the list, if this instance is one
+    /// of those that push them.
     fn parts_since(&self, board: &Board, since: u64) -> Vec<(SocketAddr, Changes)> {
         let is_pusher = Control::is_first_hand(board) && self.turn_of(board).before < PUSHERS;
         if !is_pusher || board.part.large.is_empty() {
@@ -128,7 +131,8 @@
         parts
     }
 
-    /// A message of a part's changes since a revision, or that there are too many of them.
+    /// A message with the changes of a part of the list since a revision, or only with the revision if there
+    /// are too many.
     fn part_changes(&self, board: &Board, since: u64, fleet: Delta, part: Part) -> Changes {
         let is_short = is_short(&fleet);
         let nothing = Delta { revision: fleet.revision, ..Delta::default() };
@@ -142,8 +146,8 @@
         }
     }
 
-    /// Asks now and then one that holds all upstreams what it was not told, where there are too many of
-    /// them to tell all to everyone.
+    /// Periodically asks an instance that holds all upstreams for missed changes, if there are large services,
+    /// whose changes are not sent to everyone.
     pub(super) async fn ask_changes(self: Rc<Control>) {
         loop {
             let pause_ms = ASK_MS / 2 + fastrand::u64(..ASK_MS);
@@ -214,10 +218,10 @@
         self.fetch_if_behind(now_ms);
     }
 
-    /// Takes in changes of what this instance holds.
+    /// Applies changes of the upstreams that this instance holds.
     fn take_part(&self, board: &mut Board, since: u64, mut delta: Delta, now_ms: u64) {
         if since == u64::MAX {
-            // The sender has more news than go into a message.
+            // The sender has more changes than fit into a message.
             board.is_behind |= delta.revision > board.fleet.revision;
             return;
         }
@@ -227,7 +231,7 @@
     }
 }
 
-/// Whether changes go into one message.
+/// Whether changes fit into one message.
 fn is_short(delta: &Delta) -> bool {
     let is_short = rmp_serde::to_vec(delta).is_ok_and(|bytes| bytes.len() <= PUSHED_BYTES);
     is_short && !delta.is_whole
--- a/src/gateway/control/directory.rs
+++ b/src/gateway/control/directory.rs
@@ -1,4 +1,4 @@
-//! The controller that follows the directory and keeps the registration there.
+//! Watches the directory for changes, and maintains this instance's registration there.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -14,35 +14,35 @@
 use super::super::policy::watchers::{self, Turn};
 use super::{Board, Control};
 
-/// The wait after a call that failed; doubled up to the longest.
+/// The pause after a first failed call; doubled with each further failure up to the maximum.
 const RETRY_MS: u64 = 150;
-/// The longest wait after calls that failed: the directory's return should be noticed within
-/// half a second.
+/// The maximum pause after failed calls: the return of the directory should be noticed within half a second.
 const RETRY_MOST_MS: u64 = 500;
-/// How long a registration outlives its last renewal.
+/// The time to live of a registration after its last renewal.
 const LEASE_MS: u64 = 30_000;
-/// The pause between renewals, a third of the lease.
+/// The interval between renewals, a third of the time to live.
 const RENEW_MS: u64 = 10_000;
-/// The longest pause after a renewal that failed: three more are made before the lease ends.
+/// The maximum pause after a failed renewal: short enough for three more attempts before the lease ends.
 const REGISTER_RETRY_MOST_MS: u64 = 5_000;
-/// How long an instance that starts asks seeds: one that starts at the same time knows everything
-/// within a few round trips.
+/// How long a starting instance asks seeds at least: a seed that starts at the same time has the
+/// configuration and the upstream list within a few round trips.
 const START_MS: u64 = 400;
-/// The first pause between two questions, doubled each time.
+/// The first pause between two requests to seeds, doubled each time.
 const FIRST_PAUSE_MS: u64 = 20;
 /// The pause after which a seed is asked for the last time.
 const LAST_PAUSE_MS: u64 = 160;
-/// Within which time those that heard nothing ask the directory, not all at once.
+/// The random spread that is added to the time for asking seeds, so that starting instances without an
+/// answer do not all call the directory at once.
 const START_SPREAD_MS: u64 = 600;
-/// How often an instance looks whether it should watch the directory.
+/// How often an instance checks whether it should watch the directory.
 const WATCH_LOOK_MS: u64 = 250;
-/// How long a watch waits that only asks whether the directory still answers.
+/// The wait of a watch call that only checks whether the directory still answers.
 const CHECK_WAIT_MS: u64 = 1;
-/// How long an instance that a seed told everything lets others tell that they watch the directory,
-/// before it takes itself for the only one.
+/// How long after its start an instance waits to learn which others watch the directory, before it concludes
+/// that none does.
 const SETTLE_MS: u64 = 1_500;
-/// How long after its start an instance registers, if it does, and how often it looks again: those
-/// that are to find it by its registration are not in a hurry, and it knows who else lives by then.
+/// How long after its start an instance first decides whether to register, and how often it decides again at
+/// the most: by then it knows the other live instances, and being found by registration is not urgent.
 const REGISTER_LOOK_MS: u64 = 2_000;
 
 impl Control {
@@ -53,7 +53,7 @@
         loop {
             self.wait_for_turn().await;
             if let Some(revision) = self.told_revision().filter(|_| !is_history_gone) {
-                slog::info!(self.log, "directory watched from where peers know it";
+                slog::info!(self.log, "watching the directory from the revision that peers sent";
                     "revision" => revision);
                 is_history_gone = !self.watch(revision).await;
                 continue;
@@ -77,8 +77,8 @@
         }
     }
 
-    /// The revision up to which peers told this instance everything, configurations included: it need
-    /// not read anew what they read.
+    /// The revision up to which peers sent this instance all upstreams and the newest configuration, so that it
+    /// can watch from there without reading the whole directory.
     fn told_revision(&self) -> Option<u64> {
         let board = self.board.borrow();
         let versions = Control::versions(&board);
@@ -87,17 +87,18 @@
         (board.has_fleet && board.part.share.is_all() && has_config).then_some(versions.fleet)
     }
 
-    /// Follows the changes. Returns whether the watch was left to others; it ends also when the changes
-    /// are no longer kept.
+    /// Watches the directory for changes. Returns `true` once enough other instances watch it, and `false` if
+    /// the directory no longer keeps the changes since the revision.
     pub(super) async fn watch(&self, mut revision: u64) -> bool {
         let mut retry_ms = RETRY_MS;
-        // Others should hear at once that this instance hears from the directory.
+        // The first call returns at once, so that peers soon learn that this instance has a working watch.
         let mut is_check = true;
         loop {
             let turn = self.turn();
             if !turn.watches() {
                 self.board.borrow_mut().is_watching = false;
-                slog::info!(self.log, "directory left to others"; "revision" => revision);
+                slog::info!(self.log, "stopped watching the directory; other instances watch it";
+                    "revision" => revision);
                 return true;
             }
             let wait_ms = if is_check { CHECK_WAIT_MS } else { turn.wait_ms() };
@@ -108,7 +109,7 @@
                     continue;
                 }
                 () = self.broken_watch.notified() => {
-                    slog::info!(self.log, "watch is behind peers and given up";
+                    slog::info!(self.log, "directory watch lags behind peers; restarting it";
                         "revision" => revision);
                     continue;
                 }
@@ -126,7 +127,7 @@
                     }
                 }
                 Err(fault @ Fault::HistoryGone) => {
-                    slog::info!(self.log, "directory read anew"; "why" => %fault);
+                    slog::info!(self.log, "reading the whole directory again"; "why" => %fault);
                     return false;
                 }
                 Err(fault) => {
@@ -139,7 +140,7 @@
         }
     }
 
-    /// Where this instance stands among those that hear from the directory.
+    /// This instance's position among those that have a working directory watch.
     fn turn(&self) -> Turn {
         self.turn_of(&self.board.borrow())
     }
@@ -149,7 +150,7 @@
         Turn::of(board.membership.my_rank(), first_hand.map(|member| member.card.rank()))
     }
 
-    /// How many times longer than the first in rank it waits for a directory that answers nobody.
+    /// The factor on the retry pause by rank, so that few instances call an unreachable directory often.
     fn patience(&self) -> u64 {
         Turn::patience(self.board.borrow().membership.before_me())
     }
@@ -163,7 +164,8 @@
             if !self.has_seeds() {
                 return true;
             }
-            // Those that others know of are told soon, and know too few yet to tell their rank.
+            // An instance that knows a peer soon receives the list from peers, and knows too few members yet
+            // to compute its rank.
             let is_alone = board.membership.alive().next().is_none();
             let since_ms = if is_alone { START_MS } else { SETTLE_MS };
             return now_ms >= since_ms && watchers::may_read(before_me, now_ms - since_ms);
@@ -176,16 +178,16 @@
         watchers::may_read(before_me, short_ms)
     }
 
-    /// Whether there are others whom it asks when it starts; the seeds themselves ask nobody.
+    /// Whether this instance asks seeds when it starts; the seeds themselves do not.
     fn has_seeds(&self) -> bool {
         let seeds = &self.settings.seeds;
         !seeds.is_empty() && !seeds.contains(&self.settings.peer)
     }
 
-    /// Asks the seeds what they know before the directory is asked: reading everything is dear for
-    /// the directory when many start at once. The seeds, whom all ask, read it themselves. After a few
-    /// questions it leaves it to its peers to tell what they know: in a large fleet that starts together
-    /// the seeds would do nothing but answer.
+    /// Fetches the configuration and the upstream list from seeds before calling the directory: full reads by
+    /// many instances that start at once are expensive for the directory. The seeds read it themselves. After
+    /// a few requests the instance waits for peers to send what they have, since the seeds of a large fleet
+    /// that starts at once would otherwise do nothing but answer.
     async fn ask_seeds(&self) {
         if !self.has_seeds() {
             return;
@@ -205,15 +207,14 @@
         }
     }
 
-    /// Waits until this instance should hear of changes from the directory itself.
+    /// Waits until this instance should watch the directory itself.
     pub(super) async fn wait_for_turn(&self) {
         while !self.should_watch() {
             tokio::time::sleep(Duration::from_millis(WATCH_LOOK_MS)).await;
         }
     }
 
-    /// Makes a call and records how long its answer took; a call without one is a fault, and
-    /// counted as such.
+    /// Awaits a call and records its latency if it succeeds; a failed call is a fault and has no latency.
     async fn timed<T>(
         &self,
         call: &str,
@@ -298,7 +299,7 @@
         for removed in changes.removed {
             match removed {
                 Removed::Upstream(id) => of_upstreams.push(Change::Gone(id)),
-                // Peers tell by their beats whether an instance lives.
+                // The membership protocol detects which instances are alive.
                 Removed::Instance(_) => {}
                 Removed::Holder => self.note_holder(None),
             }
@@ -329,7 +330,7 @@
     }
 
     fn log_foreign(&self, id: &str, detail: &str) {
-        slog::warn!(self.log, "entry names no upstream to use"; "upstream" => id,
+        slog::warn!(self.log, "ignoring an unusable upstream entry"; "upstream" => id,
             "detail" => detail);
     }
 
@@ -344,14 +345,14 @@
             }
             Record::Holder(holder) => self.note_holder(Some(holder)),
             Record::Unreadable { key, detail } => {
-                slog::warn!(self.log, "record refused; what is in force stays";
+                slog::warn!(self.log, "record refused; the previous value stays in force";
                     "key" => key, "detail" => detail);
             }
             Record::Upstream(_) | Record::ForeignUpstream { .. } => {}
         }
     }
 
-    /// Notes who has the duties that one instance at a time has.
+    /// Records which instance holds the duties.
     fn note_holder(&self, holder: Option<Holder>) {
         let now_ms = self.clock.now_ms();
         let mut board = self.board.borrow_mut();
@@ -363,7 +364,7 @@
         let mut retry_ms = RETRY_MOST_MS;
         loop {
             if self.is_stopping() {
-                // A registration that was under way when the stop began has just come about.
+                // A registration that was in progress when the stop began may have completed.
                 return self.release().await;
             }
             let lease = self.board.borrow().lease;
@@ -384,7 +385,7 @@
                 }
                 Err(Fault::LeaseEnded) => self.board.borrow_mut().lease = None,
                 Err(fault) => {
-                    slog::info!(self.log, "registration not renewed"; "why" => %fault);
+                    slog::info!(self.log, "could not register or renew the registration"; "why" => %fault);
                     tokio::time::sleep(Duration::from_millis(retry_ms)).await;
                     retry_ms = (retry_ms * 2).min(REGISTER_RETRY_MOST_MS);
                 }
@@ -392,8 +393,8 @@
         }
     }
 
-    /// Whether this instance should be registered, as far as it knows who else lives: at once if
-    /// nobody can have told it.
+    /// Whether this instance should be registered, by its rank among the live instances that it knows. An
+    /// instance with seeds to ask first waits until it knows the others.
     pub(super) fn registers(&self) -> bool {
         let now_ms = self.clock.now_ms();
         let board = self.board.borrow();
--- a/src/gateway/control/duties.rs
+++ b/src/gateway/control/duties.rs
@@ -1,5 +1,5 @@
-//! The controller of duties that one instance at a time has: it keeps the lease, gathers what all count,
-//! and reports it.
+//! Duties that only one instance may run at a time: holds the lease on them, collects the usage counts of all
+//! instances, reports usage, and orders workers.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -19,19 +19,19 @@
 use super::{Board, Control};
 use crate::clock;
 
-/// How often it looks what is due.
+/// How often the lease and the duties are checked.
 const LOOK_MS: u64 = 200;
-/// How often an instance tells what it counted.
+/// How often an instance sends its usage counts.
 const TELL_MS: u64 = 500;
-/// How often one tells that counted nothing: its clock counts all the same.
+/// How often an instance without usage sends a message: its clock is still used to estimate the true time.
 const TELL_NOTHING_MS: u64 = 4_000;
-/// The pause after a call that failed.
+/// The pause after a first failed call; doubled with each further failure up to the maximum.
 const RETRY_MS: u64 = 300;
-/// The longest pause, where the platform answers none.
+/// The maximum pause after failed calls, while the platform answers none.
 const RETRY_MOST_MS: u64 = 2_000;
 
 impl Control {
-    /// Has the first few in rank know what this instance counted.
+    /// Periodically sends this instance's usage counts to the instances that may hold the lease.
     pub(super) async fn tell_usage(self: Rc<Control>) {
         if self.usage_schedule().is_none() {
             return;
@@ -82,7 +82,7 @@
         self.directory.duties().and_then(|duties| duties.terms().usage)
     }
 
-    /// Takes the lease if it is free and this instance may hold it, and does the duties while it does.
+    /// Takes the lease if it is free and this instance may hold it, and runs the duties while it holds it.
     pub(super) async fn keep_duties(self: Rc<Control>) {
         let Some(duties) = self.directory.duties() else { return };
         let mut reported = BTreeSet::new();
@@ -99,7 +99,7 @@
             match done {
                 Ok(()) => retry_ms = RETRY_MS,
                 Err(fault) => {
-                    slog::info!(self.log, "duty not done yet"; "why" => %fault);
+                    slog::info!(self.log, "duty failed; retrying"; "why" => %fault);
                     self.metrics.count("duty_faults");
                     tokio::time::sleep(Duration::from_millis(retry_ms)).await;
                     retry_ms = (retry_ms * 2).min(RETRY_MOST_MS);
@@ -148,7 +148,7 @@
                 match renewed {
                     Ok(()) => board.duty_lease.note_renewed(now_ms),
                     Err(Fault::LeaseEnded) => {
-                        slog::warn!(self.log, "lease of the duties has ended");
+                        slog::warn!(self.log, "the lease on the duties has ended");
                         board.duty_lease.note_ended(self.clock.now_ms());
                     }
                     Err(fault) => return Err(fault),
@@ -186,13 +186,13 @@
         }
     }
 
-    /// The right to act, if this instance has it at this moment.
+    /// The fence under which duty calls are made, if this instance holds the lease at this moment.
     fn fence(&self) -> Option<Fence> {
         let token = self.board.borrow().duty_lease.token(self.clock.now_ms())?;
         Some(Fence { holder: self.me.id.clone(), token })
     }
 
-    /// Reports the windows that are due.
+    /// Reports the usage windows that are due.
     async fn report_usage(
         &self,
         duties: &dyn DutyCalls,
@@ -221,7 +221,7 @@
                     self.board.borrow_mut().reported_window = Some(window.number);
                 }
                 Err(Fault::Superseded) => {
-                    slog::warn!(self.log, "usage not reported: a later holder was seen";
+                    slog::warn!(self.log, "usage report rejected: the lease has a newer holder";
                         "window" => window.number);
                     self.board.borrow_mut().duty_lease.note_ended(self.clock.now_ms());
                     return Ok(());
@@ -232,22 +232,22 @@
         Ok(())
     }
 
-    /// The one report of a window: what an earlier holder stored, or else what is known now. It is
-    /// stored before it is sent, so that whoever takes over sends the same.
+    /// The only report of a window: the one that an earlier holder stored, or else one of the present counts.
+    /// It is stored before it is sent, so that a later holder sends the same report.
     async fn report_of(&self, duties: &dyn DutyCalls, window: Window) -> Result<Report, Fault> {
         let counts = self.board.borrow().usage.counted(window);
         let report = duties.report(window.number, &counts);
         match duties.store_report(window.number, report.clone()).await? {
             Written::Now(_) => Ok(report),
             Written::Before(stored) => {
-                slog::info!(self.log, "an earlier holder's report is sent again";
+                slog::info!(self.log, "sending the report that an earlier holder stored";
                     "window" => window.number);
                 Ok(stored)
             }
         }
     }
 
-    /// Orders the workers that are wanted and not there.
+    /// Orders the workers that are needed and missing.
     async fn order_workers(
         &self,
         duties: &dyn DutyCalls,
--- a/src/gateway/control/exchange.rs
+++ b/src/gateway/control/exchange.rs
@@ -1,4 +1,4 @@
-//! The controllers that exchange messages with peers: who lives, what runs where, what is newer.
+//! Exchanges messages with peers: membership, load updates and lost upstreams.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -13,16 +13,16 @@
 use super::super::policy::watchers;
 use super::{Board, Control, LOST_TOLD_MS};
 
-/// How long news gather before peers hear of them: a burst of placements or losses comes within a few
-/// milliseconds.
+/// How long updates are batched before they are sent: a burst of routed requests or lost upstreams comes
+/// within a few milliseconds.
 pub(super) const NEWS_MS: u64 = 5;
-/// The longest datagram.
+/// The maximum size of a received datagram.
 const DATAGRAM_BYTES: usize = 32 << 10;
-/// Peers of the same failure domain that get everything in each round, for what was lost on the way.
+/// How many peers of the same failure domain receive the full load in each round, in case updates were lost.
 const REFRESHED: usize = 3;
 
 impl Control {
-    /// Sends the messages that the membership has to send.
+    /// Sends the pending messages of the membership protocol.
     pub(super) fn flush(&self) {
         let messages = self.board.borrow_mut().membership.take_messages();
         for (addr, message) in messages {
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Sends a message to each address; one that is lost is followed by others that say as much.
+    /// Sends a message to each address. Send errors are ignored: lost messages are made up for by later ones.
     pub(super) fn send(&self, message: &Message, addrs: &[SocketAddr]) {
         let Some(socket) = self.socket.borrow().clone() else { return };
         let Some(bytes) = membership::encode(message) else { return };
@@ -39,19 +39,19 @@
         }
     }
 
-    /// The living peers of this failure domain.
+    /// The live peers in this failure domain.
     pub(super) fn near_peers(&self, board: &Board) -> Vec<SocketAddr> {
         let alive = board.membership.alive().map(|member| &member.card.registration);
         let near = alive.filter(|other| other.domain == self.me.domain);
         near.map(|other| other.peer_addr).collect()
     }
 
-    /// One living peer of each other failure domain.
+    /// One random live peer of each other failure domain.
     pub(super) fn one_of_each_other_domain(&self, board: &Board) -> Vec<SocketAddr> {
         self.one_of_each(board, |_| true)
     }
 
-    /// One living peer of each other failure domain for which something holds.
+    /// One random live peer of each other failure domain among those that satisfy `holds`.
     pub(super) fn one_of_each(
         &self,
         board: &Board,
@@ -67,7 +67,8 @@
         far.into_iter().map(|other| other.peer_addr).collect()
     }
 
-    /// Observes other instances, and repeats to a few what this one has running.
+    /// Runs the periodic round: probes peers, repeats this instance's state to a few of them, and checks the
+    /// share that this instance holds.
     pub(super) async fn observe_peers(self: Rc<Control>) {
         loop {
             let now_ms = self.clock.now_ms();
@@ -84,7 +85,7 @@
         }
     }
 
-    /// Does what is due once in a round.
+    /// Advances the membership protocol, and drops what has expired.
     fn end_round(&self, now_ms: u64) {
         let mut board = self.board.borrow_mut();
         board.membership.tick(now_ms, &mut fastrand::Rng::new());
@@ -99,7 +100,7 @@
             board.few_watch_since_ms.get_or_insert(now_ms);
         }
         if board.found.note_directory(is_heard, now_ms) {
-            slog::info!(self.log, "engines found meanwhile count only as listed");
+            slog::info!(self.log, "rediscovered engines dropped; only the directory's list counts");
         }
         board.loads.forget(now_ms);
         board.quarantine.forget(now_ms);
@@ -107,7 +108,7 @@
         board.departures.forget(now_ms);
     }
 
-    /// Tells rumors: new ones at once, and each a few times more.
+    /// Gossips rumors: new ones at once, and each repeated in a few more rounds.
     pub(super) async fn gossip(self: Rc<Control>) {
         loop {
             let has_rumors = self.board.borrow().membership.has_rumors();
@@ -119,14 +120,14 @@
             } else {
                 self.rumors.notified().await;
             }
-            // What follows at once goes with it.
+            // Rumors that follow at once go into the same message.
             tokio::time::sleep(Duration::from_millis(NEWS_MS)).await;
             self.board.borrow_mut().membership.gossip(&mut fastrand::Rng::new());
             self.flush();
         }
     }
 
-    /// Tells the failure domain what changed in the traffic here, and all which upstreams were lost.
+    /// Sends changes of this instance's load to its failure domain, and spreads lost upstreams to all instances.
     pub(super) async fn tell_loads(self: Rc<Control>) {
         loop {
             self.shared.news.notified().await;
@@ -149,7 +150,7 @@
         }
     }
 
-    /// A message about the traffic here that says nothing yet.
+    /// An empty load update with the next sequence number.
     fn load_news(&self, board: &mut Board) -> LoadNews {
         board.messages += 1;
         LoadNews {
@@ -164,7 +165,7 @@
         }
     }
 
-    /// Repeats to a few peers all that runs here.
+    /// Sends the full load of this instance to a few peers.
     fn refresh_loads(&self) {
         let now_ms = self.clock.now_ms();
         let own = self.shared.own();
@@ -191,7 +192,8 @@
         self.send(&Message::Loads(news), &near);
     }
 
-    /// Takes its turn in telling other failure domains what this one has running.
+    /// Sends other failure domains a digest of this domain's load. The pause grows with the instances of this
+    /// domain, so that together they send at a constant rate.
     pub(super) async fn tell_digests(self: Rc<Control>) {
         loop {
             let here = self.board.borrow().placing_near.len() as u64 + 1;
@@ -201,7 +203,7 @@
             let own = self.shared.own();
             let mut board = self.board.borrow_mut();
             if !board.is_placing {
-                // It doesn't hear what the others have.
+                // This instance doesn't receive the load of the others.
                 continue;
             }
             let far = self.one_of_each_other_domain(&board);
@@ -287,7 +289,7 @@
         self.fetch_if_behind(now_ms);
     }
 
-    /// Has what changed in the membership told and published.
+    /// Triggers gossip and publication after membership messages that brought changes.
     fn note_membership(&self) {
         let board = self.board.borrow();
         if board.membership.has_rumors() {
@@ -312,7 +314,7 @@
         self.note_membership();
     }
 
-    /// Notes that an upstream was lost; the others hear of it if it is news.
+    /// Records that an upstream was lost, and spreads it to all instances if it was not known.
     fn note_lost(&self, board: &mut Board, id: Arc<str>, now_ms: u64) {
         let is_known = board.lost.get(&id).is_some_and(|until_ms| *until_ms > now_ms);
         if is_known {
--- a/src/gateway/control/knowledge.rs
+++ b/src/gateway/control/knowledge.rs
@@ -1,8 +1,9 @@
-//! The controller that fetches from peers what this instance does not know yet.
+//! Fetches newer configurations and upstream lists from peers, and answers such requests.
 //!
-//! Configurations and lists travel apart: a list of thousands may fill a link for seconds, and an
-//! operator's change must not wait for it. A list comes in pages, each from whichever peer answers, so
-//! that one that is late costs a page and not the whole list.
+//! The configuration and the upstream list are fetched separately: a list of thousands of upstreams may
+//! occupy a link for seconds, and an operator's configuration change must not wait for it. The list is
+//! fetched in pages, each from any peer that answers, so that a slow peer delays one page and not the whole
+//! list.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -25,22 +26,23 @@
 use super::super::route::Config;
 use super::{Board, Control, shares};
 
-/// How long a watching instance lets a peer know a newer version before it fetches it from there:
-/// the directory's own answer is usually under way.
+/// How long an instance that watches the directory waits before it fetches a newer version from a peer: the
+/// directory's own answer is usually under way.
 const BEHIND_MS: u64 = 300;
-/// How long a watch may be behind a peer before it is given up as broken.
+/// How long a directory watch may lag behind a peer before it is restarted as broken.
 const BROKEN_WATCH_MS: u64 = 1_000;
-/// How long one answer of a peer may take: a page or a configuration is some 50 KB.
+/// The timeout of one request to a peer: a page or a configuration is about 50 KB.
 pub const FETCH_TIMEOUT_MS: u64 = 1_500;
-/// Peers in a row that may fail to answer before a fetch is given up.
+/// After how many consecutive failed requests a list fetch is given up.
 const FETCH_TRIES: u32 = 4;
-/// The pause after one that failed: it may have been busy with others.
+/// The pause after a failed request: the peer may have been busy with others.
 const FETCH_PAUSE_MS: u64 = 20;
-/// The least pause after a fetch that brought nothing.
+/// The minimum pause after a fetch that was given up.
 const FETCH_RETRY_MS: u64 = 100;
-/// From when on an instance that starts asks those that should hold the list, if nobody told that it does.
+/// How long after its start an instance without a list asks those that should hold it by their rank, if no
+/// peer reported to hold it.
 const LIST_OVERDUE_MS: u64 = 3_000;
-/// Instances that are remembered to hold the whole list.
+/// How many reported holders of the full list are remembered.
 const MOST_HOLDERS_TOLD: usize = 8;
 
 /// The path at which peers fetch the configuration.
@@ -48,45 +50,45 @@
 /// The path at which peers fetch the list of upstreams.
 pub const LIST_PATH: &str = "/peer/upstreams";
 
-/// Asks for the configuration, if it is newer than the version that is known.
+/// A request for the configuration, if it is newer than the known version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigAsk {
-    /// That version.
+    /// The version that the sender knows.
     pub known: u64,
 }
 
-/// Asks for the list of upstreams, or for a part of it.
+/// A request for the upstream list, for a part of it, or for its changes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListAsk {
-    /// Who asks.
+    /// The id of the sender.
     pub id: Arc<str>,
-    /// The revision of the list that it knows.
+    /// The list revision that the sender knows, or 0.
     pub since: u64,
-    /// The share of the large services that it wants; without one, whoever answers chooses.
+    /// The requested share of the large services; without one, the responder chooses.
     pub share: Option<Share>,
-    /// The upstream behind which the asked page begins.
+    /// The id of the upstream after which the requested page begins.
     pub after: Arc<str>,
 }
 
-/// An answer to that.
+/// The answer to a [`ListAsk`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Listed {
-    /// What it holds of which services.
+    /// Which part of the list the content covers.
     pub part: Part,
     /// The upstreams.
     pub content: Content,
 }
 
-/// The upstreams in an answer.
+/// The content of a [`Listed`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Content {
-    /// What changed since the known revision.
+    /// The changes since the known revision.
     Changes(Delta),
-    /// A part of the whole list.
+    /// A page of the list.
     Page(Page),
 }
 
-/// Asks a peer.
+/// Sends a request to a peer. Returns `None` if it fails, is refused or times out.
 async fn ask<Q: Serialize, A: DeserializeOwned>(
     addr: SocketAddr,
     path: &str,
@@ -106,13 +108,13 @@
 }
 
 impl Control {
-    /// The configuration, for a peer that knows an older one.
+    /// Answers a peer's request for the configuration; `None` if this instance has no newer one.
     pub fn config_for(&self, asked: ConfigAsk) -> Option<Arc<Config>> {
         let config = self.board.borrow().config.clone();
         config.filter(|config| config.version > asked.known)
     }
 
-    /// What a peer asked of the list; `None` if this instance doesn't hold all of it.
+    /// Answers a peer's request for the upstream list; `None` if this instance doesn't hold the full list.
     pub fn list_for(&self, asked: &ListAsk) -> Option<Listed> {
         let board = self.board.borrow();
         if !board.has_fleet || !board.part.share.is_all() {
@@ -135,8 +137,8 @@
         Some(Listed { part, content })
     }
 
-    /// Fetches from peers what this instance doesn't know yet: at once if it leaves the directory
-    /// to others, else after a moment in which the directory usually tells.
+    /// Fetches newer versions from peers: at once if this instance doesn't watch the directory, else after a
+    /// delay in which the directory usually answers.
     pub(super) fn fetch_if_behind(self: &Rc<Control>, now_ms: u64) {
         let mut board = self.board.borrow_mut();
         let known = Control::versions(&board);
@@ -192,7 +194,7 @@
         });
     }
 
-    /// Fetches the configuration from a peer. Returns whether that one had a newer one.
+    /// Fetches the configuration from a peer. Returns whether the peer had a newer one.
     pub(super) async fn fetch_config(&self, addr: SocketAddr) -> bool {
         let known = Control::versions(&self.board.borrow()).config;
         let asked: Option<Option<Arc<Config>>> = ask(addr, CONFIG_PATH, &ConfigAsk { known }).await;
@@ -210,8 +212,8 @@
         }
     }
 
-    /// Fetches the list from a peer, and what that one doesn't answer from others. Returns whether it
-    /// came.
+    /// Fetches the list or its changes from a peer, and from other peers where that one fails. Returns whether
+    /// the fetch completed.
     pub(super) async fn fetch_list(&self, mut addr: SocketAddr) -> bool {
         let mut pages = Pages::default();
         let mut failed = 0;
@@ -253,7 +255,7 @@
         }
     }
 
-    /// Another peer that may hold the whole list, if there is one.
+    /// A peer other than `failed` that may hold the full list; `failed` if there is none.
     fn other_source(&self, failed: SocketAddr) -> SocketAddr {
         let board = self.board.borrow();
         let told = board.list_holders_told.iter().copied();
@@ -262,7 +264,7 @@
         fastrand::choice(others).unwrap_or(failed)
     }
 
-    /// A living member for which something holds, of this failure domain if there is one.
+    /// A random live peer that satisfies `holds`, preferably of this failure domain.
     fn source(&self, board: &Board, holds: impl Fn(&Member) -> bool) -> Option<SocketAddr> {
         let fitting = board.membership.alive().filter(|member| holds(member));
         let fitting: Vec<&Registration> = fitting.map(|member| &member.card.registration).collect();
@@ -272,8 +274,9 @@
         fastrand::choice(some).map(|other| other.peer_addr)
     }
 
-    /// Where to fetch the list, if this instance has none, wants another share of it, or knows of a
-    /// newer one; what it holds a part of, it is told without asking here.
+    /// The peer to fetch the list from, if this instance has none, needs another share, missed changes, or
+    /// knows of a newer list. Changes of a part are pushed, so an instance that holds only a part doesn't
+    /// fetch a list for being newer.
     fn list_source(&self, board: &Board, now_ms: u64) -> Option<SocketAddr> {
         if board.is_fetching_list || now_ms < board.list_retry_ms {
             return None;
@@ -293,13 +296,13 @@
         if board.has_fleet {
             return told.or_else(by_rank);
         }
-        // Before anybody has the list, asking for it would only keep those busy who read it.
+        // Before any instance has the list, requests would only slow down those that are reading it.
         let is_overdue = now_ms >= LIST_OVERDUE_MS;
         told.or_else(|| self.source(board, holds_newer))
             .or_else(|| by_rank().filter(|_| is_overdue))
     }
 
-    /// Notes where the whole list is held, as a peer told.
+    /// Records the address of an instance that holds the full list, as reported by a peer.
     pub(super) fn note_list_holder(board: &mut Board, addr: SocketAddr) {
         if !board.list_holders_told.contains(&addr) {
             board.list_holders_told.push_back(addr);
@@ -309,7 +312,7 @@
         }
     }
 
-    /// Where the whole list is held, for peers that have none.
+    /// The address of an instance that holds the full list, to be reported to peers.
     pub(super) fn list_holder_to_tell(&self, board: &Board) -> Option<SocketAddr> {
         if board.has_fleet && board.part.share.is_all() {
             return Some(self.me.peer_addr);
@@ -317,7 +320,7 @@
         fastrand::choice(&board.list_holders_told).copied()
     }
 
-    /// Where those are reached that hold the whole list, as far as their rank says.
+    /// The addresses of the live peers that should hold the full list by their rank.
     pub(super) fn list_holders(board: &Board) -> impl Iterator<Item = SocketAddr> {
         board.membership.keepers().into_iter().map(|member| member.card.registration.peer_addr)
     }
@@ -339,7 +342,7 @@
         self.publish();
     }
 
-    /// Takes in changes since a revision of what this instance holds.
+    /// Applies fetched changes since a revision.
     fn take_changes_since(&self, since: u64, delta: Delta, part: &Part, from: SocketAddr) {
         let mut board = self.board.borrow_mut();
         self.follow_large(&mut board, part);
@@ -356,7 +359,7 @@
         self.publish();
     }
 
-    /// Takes in what a peer tells of the list of upstreams, if it is newer.
+    /// Applies a peer's changes to the full list, if they are newer.
     pub(super) fn take_delta(&self, delta: Delta, from: SocketAddr) {
         let now_ms = self.clock.now_ms();
         let mut board = self.board.borrow_mut();
@@ -365,24 +368,24 @@
         if is_newer && revision > 0 {
             board.has_fleet = true;
             board.is_outage_own = board.is_directory_lost;
-            slog::debug!(self.log, "upstreams taken from a peer"; "peer" => %from,
+            slog::debug!(self.log, "upstream changes from a peer applied"; "peer" => %from,
                 "revision" => revision, "before" => board.fleet.revision);
             board.fleet.take(delta, now_ms);
         }
     }
 }
 
-/// The pause after a fetch that brought nothing, so that those that wait for the same don't ask together.
+/// The pause after a failed fetch, randomized so that instances that wait for the same data spread out.
 fn retry_pause_ms() -> u64 {
     fastrand::u64(FETCH_RETRY_MS..2 * FETCH_RETRY_MS)
 }
 
-/// The pages of a whole list, as they come.
+/// The pages of a list that is being fetched.
 #[derive(Debug, Default)]
 struct Pages {
-    /// What the first page said that it holds.
+    /// The part that the first page covers; all pages are requested for its share.
     part: Option<Part>,
-    /// The oldest revision of a page.
+    /// The oldest revision of the pages.
     revision: u64,
     pages: Vec<Page>,
 }
@@ -398,7 +401,7 @@
         is_last
     }
 
-    /// The last upstream that came.
+    /// The id of the last received upstream, or an empty one.
     fn last(&self) -> Arc<str> {
         let last = self.pages.last().and_then(|page| page.upstreams.last());
         last.map_or(Arc::from(""), |upstream| Arc::clone(&upstream.id))
--- a/src/gateway/control/permits.rs
+++ b/src/gateway/control/permits.rs
@@ -1,4 +1,5 @@
-//! The controller of permits: it asks the owner of an upstream's token bucket, and grants them as one.
+//! Permits to send requests to rate-limited upstreams: requests them from the owner of the upstream's token
+//! bucket, and grants them for the buckets that this instance owns.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,17 +10,18 @@
 use super::super::view::PermitRequest;
 use super::{Board, Control};
 
-/// How long an instance that fell silent may live on beyond a network partition.
+/// How long an instance that fell silent is assumed to be possibly alive beyond a network partition, where
+/// another owner grants permits for the same rate limit.
 const SILENT_COUNTS_MS: u64 = 10_000;
 
 impl Control {
-    /// Answers traffic's request for a permit, or passes it on to whoever keeps the bucket.
+    /// Answers a permit request of this instance, or sends it to the owner of the bucket.
     pub(super) fn ask_permit(&self, request: PermitRequest) {
         let PermitRequest { upstream, rate, answer } = request;
         let mut board = self.board.borrow_mut();
         let Some(owner) = self.bucket_owner(&board, &upstream) else {
             let permit = self.grant(&mut board, &upstream, rate);
-            // Whoever asked may have given up.
+            // The requester may have given up.
             let _ = answer.send(permit);
             return;
         };
@@ -31,7 +33,7 @@
         self.send(&Message::AskPermit(PermitAsk { number, upstream, rate }), &[owner]);
     }
 
-    /// Where the owner of an upstream's bucket is reached; `None` if that is this instance.
+    /// The address of the owner of an upstream's bucket; `None` if this instance is the owner.
     fn bucket_owner(&self, board: &Board, upstream: &str) -> Option<SocketAddr> {
         let takes_part = |phase: Phase| phase != Phase::Starting;
         let others = board
@@ -64,7 +66,7 @@
 
     pub(super) fn hear_permit(&self, number: u64, permit: Permit) {
         if let Some(answer) = self.board.borrow_mut().permits.remove(&number) {
-            // Whoever asked may have given up.
+            // The requester may have given up.
             let _ = answer.send(permit);
         }
     }
--- a/src/gateway/control/quarantine.rs
+++ b/src/gateway/control/quarantine.rs
@@ -1,4 +1,5 @@
-//! The controller of the quarantine: it judges the crashes that traffic reports, and has peers know.
+//! Tracks requests that crash upstreams: judges the crashes that request handling reports, quarantines
+//! requests, and shares the records with peers and the directory.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -11,13 +12,14 @@
 use super::super::view::Report;
 use super::{Board, Control};
 
-/// How often a quarantine is tried to be stored, and the pause between: outages of the directory last
-/// for seconds, and peers know it meanwhile.
+/// How many attempts are made to store a quarantine record, and the pause between them: outages of the
+/// directory last for seconds, and peers have the record meanwhile.
 const REMEMBER_TRIES: u32 = 30;
 const REMEMBER_PAUSE_MS: u64 = 1_000;
 
 impl Control {
-    /// Takes in what is reported, and judges it when peers have told what else ended.
+    /// Collects reported crashes, and judges each after a delay in which peers report other upstreams that
+    /// ended.
     pub(super) async fn keep_quarantine(self: Rc<Control>) {
         loop {
             let settles_ms = self.board.borrow().quarantine.settles_ms();
@@ -35,7 +37,7 @@
         }
     }
 
-    /// Has peers hear which upstreams ended under runs that had just begun.
+    /// Gossips which upstreams ended under runs that had just begun.
     fn tell_ends(&self) {
         let mut board = self.board.borrow_mut();
         for end in board.quarantine.take_ends() {
@@ -45,7 +47,7 @@
         self.rumors.notify_one();
     }
 
-    /// Takes in such an end from a peer; the others hear of it if it is news.
+    /// Records such an end reported by a peer, and gossips it further if it was not known.
     pub(super) fn hear_end(&self, end: EndedUnder, now_ms: u64) {
         let mut board = self.board.borrow_mut();
         let Some(upstream) = board.fleet.upstreams.get(&end.upstream).cloned() else { return };
@@ -97,7 +99,7 @@
 
     fn log_crash(&self, crash: &Crash, judgement: Judgement) {
         let Crash { fingerprint, upstream, stage, event, .. } = crash;
-        slog::warn!(self.log, "upstream ended under a request"; "fingerprint" => %fingerprint,
+        slog::warn!(self.log, "upstream crashed under a request"; "fingerprint" => %fingerprint,
             "upstream" => &*upstream.id, "domain" => &*upstream.domain, "stage" => ?stage,
             "event" => event, "judged" => ?judgement);
         if judgement == Judgement::Quarantined {
@@ -110,7 +112,7 @@
         self.metrics.count("requests_quarantined");
     }
 
-    /// Has the directory remember how a request stands, as soon as it answers.
+    /// Stores the record of a request in the directory, retrying while it is unreachable.
     fn remember(self: &Rc<Control>, fingerprint: Fingerprint) {
         let control = Rc::clone(self);
         tokio::task::spawn_local(async move {
@@ -120,24 +122,27 @@
                 let Some(record) = record else { return };
                 match control.directory.remember(&record, QUARANTINE_MS).await {
                     Ok(()) => return,
-                    Err(fault) => slog::info!(control.log, "quarantine not stored yet";
-                        "fingerprint" => %fingerprint, "why" => %fault),
+                    Err(fault) => {
+                        slog::info!(control.log, "could not store the quarantine record; retrying";
+                        "fingerprint" => %fingerprint, "why" => %fault)
+                    }
                 }
                 tokio::time::sleep(Duration::from_millis(REMEMBER_PAUSE_MS)).await;
             }
         });
     }
 
-    /// Takes in what a peer tells of a request.
+    /// Merges the record of a request from a peer.
     pub(super) fn hear_crashes(self: &Rc<Control>, told: CrashRecord) {
         let fingerprint = told.fingerprint;
-        // Crashes that several instances saw add up at any of them: a few have the directory remember.
+        // Crashes seen by several instances can add up to a quarantine at any of them, so the few registered
+        // instances store it.
         if self.take_crashes(told, "peer") && self.registers() {
             self.remember(fingerprint);
         }
     }
 
-    /// Takes in what others know of a request. Whether it is quarantined here by that.
+    /// Merges the record of a request. Returns whether this quarantines the request here.
     pub(super) fn take_crashes(&self, told: CrashRecord, from: &'static str) -> bool {
         let fingerprint = told.fingerprint;
         let is_new = self.board.borrow_mut().quarantine.hear(told, self.clock.now_ms());
@@ -148,7 +153,7 @@
         is_new
     }
 
-    /// Has traffic and peers know what changed.
+    /// Publishes and gossips changed records.
     fn tell_quarantine_news(&self) {
         let now_ms = self.clock.now_ms();
         let mut board = self.board.borrow_mut();
@@ -163,7 +168,7 @@
         self.publish();
     }
 
-    /// Tells a part of everything to some.
+    /// Sends the next batch of all records to some peers.
     pub(super) fn tell_quarantine(&self, addrs: &[SocketAddr]) {
         let now_ms = self.clock.now_ms();
         let part = self.board.borrow_mut().quarantine.next_part(now_ms);
@@ -173,8 +178,8 @@
         }
     }
 
-    /// Tells a part of everything to one living peer, whatever it knows: gossip ends after a few
-    /// rounds, and an instance that was cut off or suspended meanwhile has missed it.
+    /// Sends the next batch of all records to one live peer, whatever it knows: gossip ends after a few rounds,
+    /// and an instance that was cut off or suspended meanwhile has missed it.
     pub(super) fn tell_quarantine_to_one(&self) {
         let board = self.board.borrow();
         if board.quarantine.is_empty() {
--- a/src/gateway/control/shares.rs
+++ b/src/gateway/control/shares.rs
@@ -1,5 +1,5 @@
-//! The controller of what this instance holds of the services that have too many upstreams for all
-//! instances to hold them all.
+//! Decides which upstreams of large services this instance holds. A service is large if it has too many
+//! upstreams for every instance to hold them all; an instance then holds a share of them, chosen by hash.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -13,20 +13,21 @@
 use super::super::policy::watchers;
 use super::{Board, Control};
 
-/// How long an upstream counts that this instance asked for by its id: long enough to send a request.
+/// How long an upstream that was looked up by its id is published: long enough to send a request to it.
 const GUEST_MS: u64 = 1_000;
-/// How long an instance holds more of the large services than it must, after it had no upstream left.
+/// How long an instance keeps a wider share than it needs after it ran out of upstreams.
 const WIDE_MS: u64 = 30_000;
-/// From when on an instance that started knows about all members: among the few of the first moments, each
-/// would take its part for too narrow, or itself for one that holds all, and all would fetch at once.
+/// How long after its start an instance knows nearly all members. While it knows only a few, it would consider
+/// its share too narrow, or itself one of those that hold all upstreams, and all instances would fetch at
+/// once.
 const MEMBERS_KNOWN_MS: u64 = 5_000;
-/// How long an instance must have no reason to hold all upstreams before it leaves them to others: ranks
-/// change while many start or end.
+/// How long an instance's rank must not require it to hold all upstreams before it narrows its share: ranks
+/// change while many instances start or stop.
 const NARROW_AFTER_MS: u64 = 5_000;
 
 impl Control {
-    /// Takes on which services are large, as whoever holds all upstreams says: of those that are now,
-    /// this instance keeps its share; those that no longer are, it fetches.
+    /// Adopts the set of large services from an instance that holds all upstreams: narrows services that became
+    /// large to this instance's share, and requests a fetch for those that no longer are.
     pub(super) fn follow_large(&self, board: &mut Board, told: &Part) {
         if board.part.large == told.large {
             return;
@@ -45,14 +46,14 @@
         fleet.narrow(holds(&self.me.id, part));
     }
 
-    /// The share of the large services that suits the fleet, as far as this instance's part of them tells.
+    /// The share of the large services that suits the size of the fleet, estimated from the upstreams held here.
     pub(super) fn suitable_share(board: &Board) -> Share {
         let services = board.fleet.upstreams.values().map(|upstream| &upstream.service);
         let large = services.filter(|service| board.part.large.contains(*service));
         subset::share(large, board.part.share, board.membership.alive().count() + 1)
     }
 
-    /// Works out which services are large, which whoever holds all upstreams does.
+    /// Recomputes which services are large, if this instance holds all upstreams.
     pub(super) fn note_large(board: &mut Board) {
         if board.part.share.is_all() {
             let services = board.fleet.upstreams.values().map(|upstream| &upstream.service);
@@ -60,8 +61,8 @@
         }
     }
 
-    /// Holds as much of the large services as this instance's rank asks for, and more for a while after
-    /// it had no upstream left to send a request to.
+    /// Adjusts the share of the large services to this instance's rank and the number of instances. A wider
+    /// share is kept for a while after the instance ran out of upstreams.
     pub(super) fn settle_share(&self, now_ms: u64) {
         let mut board = self.board.borrow_mut();
         if !board.has_fleet || board.part.large.is_empty() || board.wanted_share.is_some() {
@@ -92,16 +93,16 @@
         }
     }
 
-    /// Leaves upstreams of large services to others.
+    /// Drops the upstreams of large services that are outside a share.
     fn narrow(&self, board: &mut Board, share: Share) {
         let Board { fleet, part, .. } = board;
         part.share = share;
         fleet.narrow(holds(&self.me.id, part));
-        slog::info!(self.log, "upstreams of large services left to others";
+        slog::info!(self.log, "share narrowed; upstreams of large services dropped";
             "halvings" => share.halvings(), "left" => fleet.upstreams.len());
     }
 
-    /// Asks for an upstream that this instance doesn't hold, at which a request goes on.
+    /// Looks up an upstream that this instance doesn't hold, on which a request is to continue.
     pub(super) fn ask_upstream(&self, id: Arc<str>) {
         let holders: Vec<SocketAddr> = Control::list_holders(&self.board.borrow()).collect();
         if let Some(addr) = fastrand::choice(holders) {
@@ -116,8 +117,8 @@
         }
     }
 
-    /// Has traffic know an upstream for a moment that this instance doesn't hold. Nobody tells it what
-    /// becomes of that one, so it is forgotten before a change of it must be in force.
+    /// Publishes an upstream that this instance doesn't hold for a short time. No peer sends changes of this
+    /// upstream, so it is dropped before a change of it must be in force.
     pub(super) fn take_guest(&self, upstream: Upstream) {
         let until_ms = self.clock.now_ms() + GUEST_MS;
         let mut board = self.board.borrow_mut();
@@ -127,7 +128,7 @@
         self.publish();
     }
 
-    /// Wants more of the large services, since no upstream is left of those that this instance holds.
+    /// Requests a wider share of the large services, since none of the held upstreams is usable.
     pub(super) fn widen_share(self: &Rc<Control>) {
         let now_ms = self.clock.now_ms();
         let mut board = self.board.borrow_mut();
@@ -138,27 +139,27 @@
         let wider = board.part.share.wider();
         board.wanted_share = Some(wider);
         drop(board);
-        slog::info!(self.log, "no upstream left; more are fetched"; "halvings" => wider.halvings());
+        slog::info!(self.log, "no usable upstream left; fetching a wider share"; "halvings" => wider.halvings());
         self.metrics.count("shares_widened");
         self.fetch_if_behind(now_ms);
     }
 }
 
-/// Whether an instance holds an upstream, by the upstream's id and service.
+/// A predicate on an upstream's id and service: whether an instance with this part holds the upstream.
 pub(super) fn holds(instance: &str, part: &Part) -> impl Fn(&str, &str) -> bool + use<> {
     let holder = Holder::new(instance);
     let Part { share, large } = part.clone();
     move |id, service| !large.contains(service) || holder.holds(id, share)
 }
 
-/// An upstream that this instance doesn't hold.
+/// An upstream outside this instance's share that is published for a short time.
 #[derive(Debug, Clone)]
 pub(super) struct Guest {
     pub(super) upstream: Upstream,
     pub(super) until_ms: u64,
 }
 
-/// What this instance holds before it knows anything.
+/// The part of the list that an instance holds before it has received any: all of it.
 pub(super) fn everything() -> Part {
     Part { share: Share::ALL, large: BTreeSet::new() }
 }
--- a/src/gateway/control/signals.rs
+++ b/src/gateway/control/signals.rs
@@ -1,4 +1,4 @@
-//! The controller of what upstreams ask for in their answers: it has all instances know.
+//! Distributes to all instances what upstreams announce in their answers: rate limits and departures.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -9,7 +9,7 @@
 use super::{Board, Control};
 
 impl Control {
-    /// Takes what traffic here brings.
+    /// Handles signals from this instance's request handling.
     pub(super) async fn keep_signals(self: Rc<Control>) {
         loop {
             self.shared.signalled.notified().await;
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Takes in what an upstream said to this instance; all others hear of it if it is news.
+    /// Records what an upstream announced to this instance, and sends it to all other instances if it is new.
     fn take_news(&self, news: SignalNews) {
         let mut board = self.board.borrow_mut();
         let Some(news) = self.note_news(&mut board, news) else { return };
@@ -42,8 +42,8 @@
         self.send(&Message::Signals(SignalNews { is_passed_on: true, ..news }), &far);
     }
 
-    /// Takes in what a peer was told; this failure domain hears of it if it is news and came from
-    /// another one.
+    /// Records what an upstream announced to a peer, and forwards it within this failure domain if it is new and
+    /// came from another domain.
     pub(super) fn hear_signals(&self, news: SignalNews) {
         let mut board = self.board.borrow_mut();
         let Some(mut news) = self.note_news(&mut board, news) else { return };
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Notes what is news, and returns that.
+    /// Records what is new, and returns it.
     fn note_news(&self, board: &mut Board, mut news: SignalNews) -> Option<SignalNews> {
         let now_ms = self.clock.now_ms();
         news.rates.retain(|told| board.named_rates.note(told, now_ms));
@@ -66,7 +66,7 @@
         Some(news)
     }
 
-    /// Tells one living peer everything: messages may be lost, and it may have started since.
+    /// Sends everything known to one live peer: messages may have been lost, or the peer may have just started.
     pub(super) fn tell_signals_to_one(&self) {
         let board = self.board.borrow();
         let news = SignalNews {
--- a/src/gateway/control/successors.rs
+++ b/src/gateway/control/successors.rs
@@ -1,4 +1,4 @@
-//! The controller that looks for lost engines at their addresses while the directory is silent.
+//! Searches for restarted engines at the addresses of lost ones while the directory is unreachable.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -16,11 +16,11 @@
 use super::super::policy::sought::Sought;
 use super::Control;
 
-/// How often lost engines are looked for: one is back about 1.2 s after its crash.
+/// The interval of the search: an engine is back about 1.2 s after its crash.
 const LOOK_MS: u64 = 400;
-/// Instances that look, of all; each look is paid for, and one or two of them may be cut off.
+/// How many instances of the fleet search: each request is billed, and one or two of them may be cut off.
 const SEEKERS: usize = 3;
-/// How long an engine may take to answer: it has just started and has nothing to do.
+/// The timeout of a request to a restarted engine: it is idle and answers fast.
 const ANSWER_TIMEOUT_MS: u64 = 300;
 
 impl Control {
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Whether nobody hears from the directory, and this instance is among the few that look.
+    /// Whether no instance has a working directory watch, and this instance is one of the few that search.
     fn is_seeker(&self) -> bool {
         let board = self.board.borrow();
         if !Mechanism::Search.is_on()
@@ -60,7 +60,7 @@
         sought.note(lost, |id| view.fleet.upstreams.contains_key(id));
     }
 
-    /// Those of the upstreams that are engines and don't leave.
+    /// The upstreams among `ids` that are engines and are not shutting down.
     fn engines(&self, ids: Vec<Arc<str>>) -> Vec<Upstream> {
         let view = self.shared.view.load();
         let is_engine = |upstream: &&Upstream| {
@@ -72,21 +72,22 @@
         known.filter(is_engine).cloned().collect()
     }
 
-    /// Asks an engine's address who is there now; the answers must say that it is an engine of the
-    /// same service, since addresses are used again by others.
+    /// Checks which engine now listens at the address of a lost one.
     async fn look_for(&self, lost: Upstream) {
         let limit = Duration::from_millis(ANSWER_TIMEOUT_MS);
         let Ok(Some(id)) = tokio::time::timeout(limit, self.ask_who(&lost)).await else { return };
         if id == lost.id {
             return;
         }
-        slog::info!(self.log, "engine found again"; "upstream" => &*id, "before" => &*lost.id,
+        slog::info!(self.log, "engine rediscovered"; "upstream" => &*id, "before" => &*lost.id,
             "address" => %lost.addr, "domain" => &*lost.domain);
         self.metrics.count("engines_found_again");
         let found = Upstream { id, ..lost };
         self.take_found(found);
     }
 
+    /// Asks the engine at an address for its id. Returns `None` unless it is healthy and serves only models of
+    /// the same service, since other services may reuse the address.
     async fn ask_who(&self, lost: &Upstream) -> Option<Arc<str>> {
         let view = self.shared.view.load_full();
         let service = view.config.as_ref()?.services.get(&lost.service)?;
@@ -107,8 +108,8 @@
         self.dialect.marks(health.headers()).upstream.filter(|_| is_well)
     }
 
-    /// Takes in an engine that this instance or a peer found, while the directory is silent; others
-    /// hear of it if it is new here.
+    /// Adds an engine that this instance or a peer rediscovered while the directory is unreachable, and gossips
+    /// it if it is new here.
     pub(super) fn take_found(&self, upstream: Upstream) {
         let mut board = self.board.borrow_mut();
         let is_heard = Control::is_directory_heard(&board);
--- a/tests/gateway/silence.rs
+++ b/tests/gateway/silence.rs
@@ -315,7 +315,7 @@
     store.put("servers/nobody", &serde_json::json!({"address": 7, "backend": ["x"]}));
     wait_for("both are refused", async || {
         let logged = running.gateways[0].logged();
-        logged.matches("entry names no upstream to use").count() >= 2
+        logged.matches("ignoring an unusable upstream entry").count() >= 2
     })
     .await;
     let before = service.seen().len();
