--- a/tests/gateway/clock.rs
+++ b/tests/gateway/clock.rs
@@ -1,19 +1,19 @@
-//! A machine that is suspended: timers stand still meanwhile, and the time passes for everybody else.
+//! The clock on a machine that is suspended: timers stop, while time goes on for all others.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
 use siskinrock::clock::Clock;
 
-/// Stands in for the clock of a machine that is suspended for a while.
+/// A simulated boot clock, which goes on during a suspension.
 static BOOT_MS: AtomicU64 = AtomicU64::new(1_000);
 
 fn boot_ms() -> u64 {
     BOOT_MS.load(Ordering::Relaxed)
 }
 
-/// A request had ten seconds left when its machine was suspended for twenty: the deadline has passed,
-/// although the timer for it has hardly run.
+/// Guards against deadlines that stand still during a suspension: with ten seconds left, a machine is
+/// suspended for twenty. The deadline has then passed, although its timer has hardly run.
 #[tokio::test]
 async fn a_deadline_passes_while_the_machine_is_suspended() {
     const SUSPENDED_MS: u64 = 20_000;
@@ -29,7 +29,7 @@
     assert!(clock.now_ms() >= deadline_ms);
 }
 
-/// The clock of a process runs with the machine's, and never goes back.
+/// The clock of a process advances with the machine's clock and never goes back.
 #[tokio::test]
 async fn the_clock_runs() {
     let clock = Clock::start();
--- a/tests/gateway/configuration.rs
+++ b/tests/gateway/configuration.rs
@@ -1,4 +1,5 @@
-//! Configurations take effect everywhere and never go back, whatever the store does.
+//! A configuration takes effect at all instances, and no instance returns to an older one, whatever the store
+//! does.
 
 use std::net::SocketAddr;
 
@@ -50,14 +51,14 @@
     .await;
     running.site.store.put("op/config", &config(3, &[KEY], &[]));
     running.site.store.put("op/config", &serde_json::json!({"version": 9, "routes": "none"}));
-    wait_for("the broken one is refused", async || {
+    wait_for("the invalid configuration is refused", async || {
         running.gateways[0].logged().contains("record refused")
     })
     .await;
     assert_eq!(status(&running, 0, &call("GET", "/fresh/a")).await, 200);
 }
 
-/// An instance that the store turns away hears of a newer configuration from its peers.
+/// An instance whose calls the store refuses fetches the configuration from its peers.
 #[tokio::test]
 async fn peers_tell_what_the_store_does_not() {
     let mut running = support::start(2).await;
@@ -75,13 +76,13 @@
     assert!(running.gateways[2].logged().contains("\"from\":\"peer\""));
 }
 
-/// A store that was silent may have forgotten the watches that waited there.
+/// A store that didn't answer for a while may have dropped the pending watches.
 #[tokio::test]
 async fn a_forgotten_watch_is_asked_anew() {
     let running = support::start(2).await;
     running.site.store.fail(Fault::Silent);
     running.site.store.put("op/config", &config(7, &[KEY], &["fresh"]));
-    wait_for("a gateway notices", async || {
+    wait_for("a gateway notices the outage", async || {
         running.gateways.iter().any(|gateway| gateway.logged().contains("directory lost"))
     })
     .await;
@@ -100,7 +101,7 @@
     site.store.fail(Fault::Busy);
     let mut running = support::start_site(site, 0).await;
     running.add(0);
-    wait_for("it answers at all", async || {
+    wait_for("the instance accepts connections", async || {
         caller::send(running.front(0), &call("GET", "/look/a")).await.is_ok()
     })
     .await;
@@ -110,17 +111,17 @@
     assert!(!running.gateways[0].is_ready().await);
 }
 
-/// A question of one instance to another, at the path where that serves it.
+/// A request from one instance to another.
 fn question(path: &str, asked: &impl serde::Serialize) -> Call {
     Call { body: rmp_serde::to_vec(asked).unwrap(), ..call("POST", path) }
 }
 
-/// Where an instance serves its peers.
+/// The address at which an instance serves requests of peers.
 fn peer_addr(running: &Running, index: usize) -> SocketAddr {
     SocketAddr::new(running.front(index).ip(), running.place.base_port + 8)
 }
 
-/// Connections that hold all places for lists at an instance.
+/// Connections that occupy all slots for list requests at an instance.
 async fn hold_lists(running: &Running, index: usize) -> Vec<Connection> {
     let list = list_question();
     let mut holding = Vec::new();
@@ -128,7 +129,7 @@
         let stream = TcpStream::connect(peer_addr(running, index)).await.unwrap();
         let mut connection = Connection::new(stream);
         connection.write(&list.encode()).await.unwrap();
-        // It may have been turned away, while others fetch.
+        // The request may have been refused because other instances are fetching.
         let _ = connection.read_answer().await;
         holding.push(connection);
     }
@@ -140,11 +141,12 @@
     question(LIST_PATH, &asked)
 }
 
-/// Instances that serve a list to so many at once.
+/// How many list requests an instance serves at once.
 const LISTS_AT_ONCE: usize = 4;
 
-/// All instances started at once and asked the first one that had the list: none of them got it in time,
-/// and all asked again. Those beyond a few are turned away at once, and one that hangs holds no place.
+/// Guards against a fleet that never gets the list: all instances start at once, request it from the first
+/// one that has it, time out and request it again. An instance therefore serves only a few list requests at
+/// once and refuses further ones at once; a stalled connection must not keep its slot.
 #[tokio::test]
 async fn a_few_lists_are_served_at_once_and_the_others_turned_away() {
     let running = support::start(1).await;
@@ -153,19 +155,23 @@
     let turned_away = caller::send(peers, &list_question()).await.unwrap();
     assert_eq!(turned_away.status(), 503);
     let config = question(CONFIG_PATH, &ConfigAsk { known: 0 });
-    assert_eq!(caller::send(peers, &config).await.unwrap().status(), 200, "it waits for no list");
-    wait_for("the places are free again", async || {
+    assert_eq!(
+        caller::send(peers, &config).await.unwrap().status(),
+        200,
+        "the configuration needs no list slot"
+    );
+    wait_for("the slots are free again", async || {
         caller::send(peers, &list_question()).await.is_ok_and(|answer| answer.status() == 200)
     })
     .await;
     drop(holding);
 }
 
-/// With lists of 300 KB on full links, an operator's change was in force only after four seconds: it came
-/// in one answer with the list.
+/// Guards against slow configuration changes: when the configuration came in one answer with the list, of
+/// 300 KB over saturated links, an operator's change took four seconds to be in force.
 #[tokio::test]
 async fn a_configuration_waits_for_no_list() {
-    /// Six, of which four watch the store and two rely on the others.
+    /// Four instances watch the store, and the other two get changes from them.
     const INSTANCES: usize = 6;
     let running = std::sync::Arc::new(support::start(INSTANCES as u8).await);
     let held = std::sync::Arc::clone(&running);
--- a/tests/gateway/large_services.rs
+++ b/tests/gateway/large_services.rs
@@ -1,4 +1,4 @@
-//! Services with thousands of upstreams, of which each instance holds a part: real processes.
+//! Services with thousands of upstreams, of which most instances hold only a share, with real processes.
 
 use std::time::{Duration, Instant};
 
@@ -8,15 +8,17 @@
 
 use crate::support::{self, Running, call, plan};
 
-/// Instances, of which eight at least hold all upstreams.
+/// All instances of the site.
 const INSTANCES: u8 = 30;
+/// The minimum number of instances that hold all upstreams.
 const HOLD_ALL: usize = 8;
-/// Fewer than so many do, so that most hold a part.
+/// Fewer than this many instances hold all upstreams; the others hold a share.
 const MOST_HOLD_ALL: usize = 20;
-/// Engines in the list beside those that run.
+/// Listed engines that don't run, beside the running ones.
 const LISTED: usize = 3_000;
 
-/// A site with thousands of engines in its list. Those that don't run leave, so that nothing is sent there.
+/// A site with thousands of engines in its list. Those that don't run are listed as draining, so that no
+/// requests are sent to them.
 async fn site() -> Site {
     let site = Site::start(2, 15).await;
     for number in 0..LISTED {
@@ -37,13 +39,13 @@
     line.and_then(|line| line.split(' ').nth(1)?.parse::<f64>().ok()).unwrap_or(0.0) as u64
 }
 
-/// How often instances fetched the list.
+/// How often all instances together fetched the list.
 fn fetches(running: &Running) -> usize {
     let logged = running.gateways.iter().map(|gateway| gateway.logged());
     logged.map(|text| text.matches("upstreams fetched from peers").count()).sum()
 }
 
-/// How many instances hold all upstreams, and the most that one of the others holds.
+/// How many instances hold all upstreams, and the maximum number of upstreams at one of the others.
 async fn held(running: &Running) -> (usize, u64) {
     let mut counts = Vec::new();
     for index in 0..running.gateways.len() {
@@ -54,45 +56,47 @@
     (all, most.copied().unwrap_or(0))
 }
 
-/// Each instance would hold all 3,000 and hear of each change; a start, also after the loss of all, would
-/// bring the whole list to each.
+/// Guards against a load that grows with services times instances: otherwise each instance holds all 3,000
+/// upstreams and receives each change, and each start, also a restart of the whole fleet, transfers the full
+/// list to each instance.
 #[tokio::test]
 async fn a_few_hold_all_and_the_others_a_part() {
     let mut running = support::start_site(site().await, INSTANCES).await;
-    wait_for("each holds what it should", async || {
+    wait_for("each instance holds its share", async || {
         let (all, most) = held(&running).await;
-        // Of so few instances, each has to hold half, so that no upstream is left to too few. Those that
-        // took themselves for one of the eight before all had met keep all of it.
+        // With so few instances, each has to hold half of the upstreams, so that each upstream is held by
+        // enough instances. Instances that counted themselves among the eight before they knew all members
+        // keep the full list.
         (HOLD_ALL..MOST_HOLD_ALL).contains(&all) && (1_000..2_000).contains(&most)
     })
     .await;
     for index in 0..usize::from(INSTANCES) {
         let stream = caller::stream(running.front(index), &plan()).await.unwrap();
-        assert!(stream.is_complete, "each finds an engine that runs");
+        assert!(stream.is_complete, "each instance holds a running engine");
     }
     running.gateways.iter_mut().for_each(siskinrock_fakes::process::Process::kill);
     let fetched_before = fetches(&running);
     let since = Instant::now();
     running.gateways.iter_mut().for_each(siskinrock_fakes::process::Process::restart);
     for index in 0..usize::from(INSTANCES) {
-        wait_for("it is ready", async || running.gateways[index].is_ready().await).await;
+        wait_for("the instance is ready", async || running.gateways[index].is_ready().await).await;
     }
     let taken = since.elapsed();
     assert!(taken < Duration::from_secs(6), "ready after {taken:?}");
     tokio::time::sleep(Duration::from_secs(1)).await;
     let fetched = fetches(&running) - fetched_before;
-    // One each, and one more by those that come to hold all; with every part fetched twice as wide while few
-    // members were known, there were 70.
+    // One fetch by each instance, and one more by those that come to hold all upstreams. There were 70 when
+    // every instance also fetched a share twice as wide while it knew only a few members.
     assert!(fetched <= usize::from(INSTANCES) + 2 * HOLD_ALL, "{fetched} fetches of the list");
     let answer = caller::send(running.front(29), &call("GET", "/look/a")).await.unwrap();
     assert_eq!(answer.status(), 200);
 }
 
-/// Changes reach those that hold a part, as far as it concerns them, and those that hold all.
+/// Changes reach both the instances that hold all upstreams and those that hold the changed ones in a share.
 #[tokio::test]
 async fn changes_reach_those_that_hold_a_part() {
     let running = support::start_site(site().await, INSTANCES).await;
-    wait_for("each holds what it should", async || held(&running).await.0 >= HOLD_ALL).await;
+    wait_for("each instance holds its share", async || held(&running).await.0 >= HOLD_ALL).await;
     for round in 0..3 {
         for number in 0..100 {
             list(&running.site, round * 1_000 + number, "ready");
@@ -104,7 +108,7 @@
         &server_entry("plan-llm", "krabi-hall", "draining", ([127, 99, 0, 1], 1).into()),
     );
     for index in 0..usize::from(INSTANCES) {
-        wait_for("it knows the newest list", async || {
+        wait_for("the instance knows the newest list", async || {
             gauge(&running, index, "list_revision").await >= newest
         })
         .await;
--- a/tests/gateway/leaving.rs
+++ b/tests/gateway/leaving.rs
@@ -1,4 +1,5 @@
-//! Upstreams that say in their answers that they leave, while nothing else says so.
+//! Upstreams that announce only in their answers that they are shutting down, while the directory lists them
+//! as ready.
 
 use std::time::{Duration, Instant};
 
@@ -11,9 +12,9 @@
 use crate::load::{self, AT_ONCE, CALL_EVERY, STREAM_EVERY, booking_or_look_up};
 use crate::support::{self, call, plan};
 
-/// So long after it said so, it gets nothing more.
+/// The time after the announcement from which on the upstream must receive no new requests.
 const BOUND: Duration = Duration::from_secs(2);
-/// How long callers go on after that.
+/// How long callers send requests after the announcement.
 const LOAD: Duration = Duration::from_secs(6);
 
 const LEAVING: Signals = Signals { limit_per_s: None, is_leaving: true, backoff_s: None };
@@ -22,7 +23,7 @@
     seen.iter().filter(|seen| seen.at > said_at + BOUND).count()
 }
 
-/// The list still says that it is ready, since the directory is silent.
+/// The directory doesn't answer, so the last list still says that the upstream is ready.
 #[parameterized(one_instance = { 1 }, nine_instances = { 9 }, many_instances = { 73 })]
 #[test_macro(tokio::test)]
 async fn an_upstream_that_says_that_it_leaves_gets_nothing_new(instances: u8) {
@@ -32,11 +33,12 @@
     let leaving = &running.site.services[0];
     leaving.signal(LEAVING);
     let got = load::play(&running, CALL_EVERY, booking_or_look_up, said_at + LOAD).await;
-    assert_eq!(late(&leaving.seen(), said_at), 0, "requests that came too late");
-    assert_eq!(got.iter().filter(|got| got.status != 200).count(), 0, "others take them");
+    assert_eq!(late(&leaving.seen(), said_at), 0, "requests after the bound");
+    assert_eq!(got.iter().filter(|got| got.status != 200).count(), 0, "other upstreams serve them");
 }
 
-/// Second attempts beside silent upstreams, repeats after errors and after lost answers.
+/// Hedges of requests to silent upstreams, and retries after errors, lost answers and refusals, avoid the
+/// upstream as well.
 #[parameterized(
     errors = { Fault::Error },
     lost_answers = { Fault::LostAnswer },
@@ -53,10 +55,11 @@
     running.site.services[1].fail(fault);
     let look_up = |_| call("GET", "/look/seat");
     load::play(&running, CALL_EVERY, look_up, said_at + LOAD).await;
-    assert_eq!(late(&leaving.seen(), said_at), 0, "requests that came too late");
+    assert_eq!(late(&leaving.seen(), said_at), 0, "requests after the bound");
 }
 
-/// The directory lists it anew as ready, and one instance hears of its leaving from the other alone.
+/// The announcement holds although the directory lists the upstream as ready again afterwards, and also at an
+/// instance that learns of it only from its peer.
 #[tokio::test]
 async fn what_an_upstream_said_holds_against_the_list_and_at_all_instances() {
     let running = support::start(2).await;
@@ -67,17 +70,17 @@
         caller::send(running.front(0), &call("GET", "/look/seat")).await.unwrap();
         !leaving.seen().is_empty()
     };
-    process::wait_for("an answer of it came to one instance", seen_by_first).await;
+    process::wait_for("one instance received an answer of the upstream", seen_by_first).await;
     running.site.list_service(0, "ready");
     tokio::time::sleep(BOUND).await;
     for front in [running.front(0), running.front(1)].iter().cycle().take(60) {
         let answer = caller::send(*front, &call("GET", "/look/seat")).await.unwrap();
         assert_eq!(answer.status(), 200);
     }
-    assert_eq!(late(&leaving.seen(), said_at), 0, "requests that came too late");
+    assert_eq!(late(&leaving.seen(), said_at), 0, "requests after the bound");
 }
 
-/// Where all that are left leave, calls are refused at once and have not run.
+/// Once all upstreams of a service are shutting down, requests are refused at once and have not run.
 #[tokio::test]
 async fn calls_are_refused_at_once_where_all_upstreams_leave() {
     let running = support::start(2).await;
@@ -86,7 +89,7 @@
     let said_at = Instant::now();
     let got = load::play(&running, CALL_EVERY, booking_or_look_up, said_at + LOAD).await;
     for service in &running.site.services {
-        assert_eq!(late(&service.seen(), said_at), 0, "requests that came too late");
+        assert_eq!(late(&service.seen(), said_at), 0, "requests after the bound");
     }
     for got in got.iter().filter(|got| got.status != 200) {
         assert_eq!((got.status, running.runs_of(&got.id)), (503, 0));
@@ -94,7 +97,8 @@
     }
 }
 
-/// New streams, those that go on after a loss, and copies.
+/// A leaving engine gets no new streams, no streams that resume after the loss of another engine, and no
+/// copies (of a run's KV cache).
 #[tokio::test]
 async fn an_engine_that_says_that_it_leaves_gets_no_streams_and_no_copies() {
     let running = support::start(3).await;
@@ -112,12 +116,12 @@
     };
     let streams = load::play(&running, STREAM_EVERY, |_| plan(), said_at + LOAD);
     let (got, ()) = tokio::join!(streams, tear);
-    assert_eq!(late(&leaving.seen(), said_at), 0, "streams that came too late");
+    assert_eq!(late(&leaving.seen(), said_at), 0, "streams after the bound");
     let addr = leaving.addr.to_string();
     let copied_there = |seen: &&Seen| {
         seen.at > said_at + BOUND && seen.request.header("x-kv-backup") == Some(&*addr)
     };
     let seen: Vec<Seen> = running.site.engines.iter().flat_map(|engine| engine.seen()).collect();
-    assert_eq!(seen.iter().filter(copied_there).count(), 0, "copies that came too late");
-    assert_eq!(got.iter().filter(|got| got.status != 200).count(), 0, "others take them");
+    assert_eq!(seen.iter().filter(copied_there).count(), 0, "copies after the bound");
+    assert_eq!(got.iter().filter(|got| got.status != 200).count(), 0, "other upstreams serve them");
 }
--- a/tests/gateway/store.rs
+++ b/tests/gateway/store.rs
@@ -1,4 +1,4 @@
-//! The adapter's client against a store that misbehaves as the published protocol says it may.
+//! The platform adapter's store client against faults of the store that its published protocol permits.
 
 use siskinrock::gateway::directory::{Directory, Fault, Record, Removed};
 use siskinrock::gateway::instance::Registration;
