--- a/src/gateway/control.rs
+++ b/src/gateway/control.rs
@@ -61,7 +61,7 @@
 const LOST_TOLD_MS: u64 = 4_000;
 
 /// The state that all tasks of the control thread share.
-struct Board {
+struct ControlState {
     config: Option<Arc<Config>>,
     fleet: Fleet,
     /// Restarted engines that were found at their addresses while the directory was unreachable, and that it
@@ -180,7 +180,7 @@
     metrics: Arc<Metrics>,
     clock: Clock,
     log: slog::Logger,
-    board: RefCell<Board>,
+    state: RefCell<ControlState>,
     /// Restarts a directory watch that lags behind peers.
     broken_watch: Notify,
     /// Makes the directory watch check at once whether the directory still answers, since it stopped
@@ -216,7 +216,7 @@
         let contacts = settings.seeds.clone();
         let window_ms = settings.repeat_window_ms;
         let lease_ms = directory.duties().map_or(0, |duties| duties.terms().lease_ms);
-        let board = Board {
+        let state = ControlState {
             config: None,
             fleet: Fleet::default(),
             found: Found::default(),
@@ -269,7 +269,7 @@
             usage: Usage::default(),
             reported_window: None,
         };
-        let board = RefCell::new(board);
+        let state = RefCell::new(state);
         let broken_watch = Notify::new();
         let doubted_directory = Notify::new();
         let dirty = Notify::new();
@@ -282,7 +282,7 @@
             metrics,
             clock,
             log,
-            board,
+            state,
             broken_watch,
             doubted_directory,
             dirty,
@@ -315,19 +315,19 @@
 
     /// Begins a planned stop: peers stop naming this instance to callers at once.
     pub fn stop(&self) {
-        self.board.borrow_mut().phase = Phase::Stopping;
+        self.state.borrow_mut().phase = Phase::Stopping;
         self.publish();
     }
 
     /// Announces to peers that this instance exits now, so that they need not detect it.
     pub fn leave(&self) {
-        self.board.borrow_mut().membership.leave(&mut fastrand::Rng::new());
+        self.state.borrow_mut().membership.leave(&mut fastrand::Rng::new());
         self.flush();
     }
 
     /// Removes this instance's registration from the directory.
     pub async fn release(&self) {
-        let lease = self.board.borrow_mut().lease.take();
+        let lease = self.state.borrow_mut().lease.take();
         if let Some(lease) = lease
             && let Err(fault) = self.directory.release(lease).await
         {
@@ -338,63 +338,63 @@
 
     /// Puts a configuration into force if it is newer than the current one; versions never go back.
     fn take_config(&self, config: Arc<Config>, from: &str) {
-        let mut board = self.board.borrow_mut();
-        let known = board.config.as_ref().map_or(0, |known| known.version);
+        let mut state = self.state.borrow_mut();
+        let known = state.config.as_ref().map_or(0, |known| known.version);
         if config.version <= known {
             return;
         }
         slog::info!(self.log, "configuration in force"; "version" => config.version,
             "before" => known, "from" => from, "routes" => config.routes.len());
-        board.config = Some(config);
+        state.config = Some(config);
     }
 
     fn publish(&self) {
         let now_ms = self.clock.now_ms();
-        let mut board = self.board.borrow_mut();
-        let is_complete = board.config.is_some() && board.has_fleet;
-        if board.phase == Phase::Starting && is_complete {
-            board.phase = Phase::Ready;
+        let mut state = self.state.borrow_mut();
+        let is_complete = state.config.is_some() && state.has_fleet;
+        if state.phase == Phase::Starting && is_complete {
+            state.phase = Phase::Ready;
             slog::info!(self.log, "ready"; "since_start_ms" => now_ms);
         }
-        let phase = board.phase;
-        let versions = Control::versions(&board);
-        let is_first_hand = Control::is_first_hand(&board);
-        let share = board.part.share;
-        board.membership.set_me(phase, is_first_hand, share, versions);
-        self.note_members(&mut board);
-        board.lost.retain(|_, until_ms| *until_ms > now_ms);
+        let phase = state.phase;
+        let versions = Control::versions(&state);
+        let is_first_hand = Control::is_first_hand(&state);
+        let share = state.part.share;
+        state.membership.set_me(phase, is_first_hand, share, versions);
+        self.note_members(&mut state);
+        state.lost.retain(|_, until_ms| *until_ms > now_ms);
         let before = self.shared.view.load();
-        let share = Control::traffic_share(&mut board);
-        let fleet = self.traffic_list(&mut board, share, &before.fleet);
-        let version = board.quarantine.version();
-        let is_quarantine_new = version != board.quarantine_version;
+        let share = Control::traffic_share(&mut state);
+        let fleet = self.traffic_list(&mut state, share, &before.fleet);
+        let version = state.quarantine.version();
+        let is_quarantine_new = version != state.quarantine_version;
         let quarantine = if is_quarantine_new {
-            Arc::new(board.quarantine.suspects())
+            Arc::new(state.quarantine.suspects())
         } else {
             Arc::clone(&before.quarantine)
         };
-        board.quarantine_version = version;
+        state.quarantine_version = version;
         let view = View {
-            config: board.config.clone(),
+            config: state.config.clone(),
             fleet,
-            phase: board.phase,
-            is_directory_silent: board.is_directory_lost,
-            fronts: Arc::clone(&board.fronts),
-            instances: board.membership.alive().count() as u32 + 1,
+            phase: state.phase,
+            is_directory_silent: state.is_directory_lost,
+            fronts: Arc::clone(&state.fronts),
+            instances: state.membership.alive().count() as u32 + 1,
             share,
-            large: board.part.large.clone(),
-            others: board.loads.held(),
-            sent: Arc::new(board.loads.sent(now_ms)),
-            lost: Arc::new(board.lost.keys().cloned().collect()),
-            places: board.loads.places(),
+            large: state.part.large.clone(),
+            others: state.loads.held(),
+            sent: Arc::new(state.loads.sent(now_ms)),
+            lost: Arc::new(state.lost.keys().cloned().collect()),
+            places: state.loads.places(),
             quarantine,
-            named_rates: board.named_rates.clone(),
-            departures: board.departures.clone(),
+            named_rates: state.named_rates.clone(),
+            departures: state.departures.clone(),
         };
         drop(before);
-        let has_rumors = board.membership.has_rumors();
-        let has_newer = versions != board.told_versions;
-        drop(board);
+        let has_rumors = state.membership.has_rumors();
+        let has_newer = versions != state.told_versions;
+        drop(state);
         self.shared.view.store(Arc::new(view));
         if is_quarantine_new {
             self.shared.quarantined.send_replace(version);
@@ -413,75 +413,80 @@
     /// The share of the large services that request handling uses, also on an instance that holds all
     /// upstreams on behalf of others. It is computed from all upstreams, so it is cached until they or the
     /// members change.
-    fn traffic_share(board: &mut Board) -> Share {
-        if !board.part.share.is_all() || board.part.large.is_empty() {
-            return board.part.share;
+    fn traffic_share(state: &mut ControlState) -> Share {
+        if !state.part.share.is_all() || state.part.large.is_empty() {
+            return state.part.share;
         }
-        let made_from = (board.fleet.changes(), board.membership.alive().count());
-        match board.suitable {
+        let made_from = (state.fleet.changes(), state.membership.alive().count());
+        match state.suitable {
             Some((from, share)) if from == made_from => share,
             _ => {
-                let share = Control::suitable_share(board);
-                board.suitable = Some((made_from, share));
+                let share = Control::suitable_share(state);
+                state.suitable = Some((made_from, share));
                 share
             }
         }
     }
 
     /// The upstream list for request handling, rebuilt only if one of its inputs changed.
-    fn traffic_list(&self, board: &mut Board, share: Share, before: &Arc<Fleet>) -> Arc<Fleet> {
+    fn traffic_list(
+        &self,
+        state: &mut ControlState,
+        share: Share,
+        before: &Arc<Fleet>,
+    ) -> Arc<Fleet> {
         let published = Published {
-            fleet: board.fleet.changes(),
-            found: board.found.changes(),
-            guests: (board.guest_changes, board.guests.len()),
+            fleet: state.fleet.changes(),
+            found: state.found.changes(),
+            guests: (state.guest_changes, state.guests.len()),
             share,
         };
-        if board.published.replace(published) == Some(published) {
+        if state.published.replace(published) == Some(published) {
             return Arc::clone(before);
         }
-        let mut upstreams = board.found.merge(&board.fleet.upstreams).into_owned();
+        let mut upstreams = state.found.merge(&state.fleet.upstreams).into_owned();
         if !share.is_all() {
-            let holds = shares::holds(&self.me.id, &Part { share, ..board.part.clone() });
+            let holds = shares::holds(&self.me.id, &Part { share, ..state.part.clone() });
             upstreams.retain(|id, upstream| holds(id, &upstream.service));
         }
-        for Guest { upstream, .. } in board.guests.values() {
+        for Guest { upstream, .. } in state.guests.values() {
             upstreams.entry(Arc::clone(&upstream.id)).or_insert_with(|| upstream.clone());
         }
         if before.upstreams == upstreams {
             return Arc::clone(before);
         }
-        Arc::new(Fleet::of(board.fleet.revision, upstreams))
+        Arc::new(Fleet::of(state.fleet.revision, upstreams))
     }
 
     /// Applies membership changes: drops the load of dead peers, and updates which instances accept callers.
-    fn note_members(&self, board: &mut Board) {
+    fn note_members(&self, state: &mut ControlState) {
         let now_ms = self.clock.now_ms();
-        let changed = board.membership.take_changed();
+        let changed = state.membership.take_changed();
         for id in &changed {
-            let Some(member) = board.membership.get(id) else { continue };
+            let Some(member) = state.membership.get(id) else { continue };
             if member.standing == Standing::Dead {
                 slog::info!(self.log, "peer gone"; "peer" => &**id,
                     "version" => member.card.version);
                 self.metrics.count("peers_gone");
-                board.loads.remove(id, now_ms);
+                state.loads.remove(id, now_ms);
             }
         }
-        self.doubt_directory(board);
-        let has_own = board.fronts_phase == board.phase;
+        self.doubt_directory(state);
+        let has_own = state.fronts_phase == state.phase;
         if changed.is_empty() && has_own {
             return;
         }
-        board.fronts_phase = board.phase;
-        self.note_fronts(board);
+        state.fronts_phase = state.phase;
+        self.note_fronts(state);
     }
 
     /// Computes which instances accept callers, and which peers receive this instance's load updates.
-    fn note_fronts(&self, board: &mut Board) {
-        let me = board.membership.my_card();
-        let ready = board.membership.alive().filter(|member| member.standing == Standing::Alive);
+    fn note_fronts(&self, state: &mut ControlState) {
+        let me = state.membership.my_card();
+        let ready = state.membership.alive().filter(|member| member.standing == Standing::Alive);
         let ready = ready.map(|member| &member.card).filter(|card| card.phase == Phase::Ready);
         let mut domains: BTreeMap<&str, Vec<(Rank, &Registration)>> = BTreeMap::new();
-        for card in ready.chain((board.phase == Phase::Ready).then_some(me)) {
+        for card in ready.chain((state.phase == Phase::Ready).then_some(me)) {
             let ranked = (card.rank(), &card.registration);
             domains.entry(&card.registration.domain).or_default().push(ranked);
         }
@@ -491,25 +496,25 @@
             domain: Arc::clone(&registration.domain),
         };
         let fronts = active.map(front).collect();
-        let near = board.membership.alive().map(|member| &member.card).chain([me]);
+        let near = state.membership.alive().map(|member| &member.card).chain([me]);
         let near = near.filter(|card| card.registration.domain == self.me.domain);
         let placing = active::active(near.map(|card| (card.rank(), &card.registration)));
         let is_placing = placing.iter().any(|registration| registration.id == self.me.id);
         let others = placing.into_iter().filter(|registration| registration.id != self.me.id);
         let placing_near = others.map(|registration| registration.peer_addr).collect();
-        board.fronts = Arc::new(fronts);
-        board.is_placing = is_placing;
-        board.placing_near = placing_near;
+        state.fronts = Arc::new(fronts);
+        state.is_placing = is_placing;
+        state.placing_near = placing_near;
     }
 
     /// Checks this instance's own directory watch if another instance has lost the directory: a watch waits
     /// for seconds, and as long as one instance believes that its watch works, nobody searches for engines
     /// that the directory does not list.
-    fn doubt_directory(&self, board: &mut Board) {
+    fn doubt_directory(&self, state: &mut ControlState) {
         let first_hand =
-            board.membership.alive().filter(|member| member.card.is_first_hand).count();
-        let before = std::mem::replace(&mut board.first_hand, first_hand);
-        if watchers::doubts(before, first_hand) && Control::is_first_hand(board) {
+            state.membership.alive().filter(|member| member.card.is_first_hand).count();
+        let before = std::mem::replace(&mut state.first_hand, first_hand);
+        if watchers::doubts(before, first_hand) && Control::is_first_hand(state) {
             self.doubted_directory.notify_one();
         }
     }
@@ -525,35 +530,35 @@
 
     /// Records gauges of the versions, sizes and age of the state.
     fn note_gauges(&self, now_ms: u64) {
-        let board = self.board.borrow();
-        let versions = Control::versions(&board);
+        let state = self.state.borrow();
+        let versions = Control::versions(&state);
         self.metrics.gauge("config_version", versions.config);
         self.metrics.gauge("list_revision", versions.fleet);
-        self.metrics.gauge("upstreams", board.fleet.upstreams.len() as u64);
-        self.metrics.gauge("large_services", board.part.large.len() as u64);
-        self.metrics.gauge("share_halvings", u64::from(board.part.share.halvings()));
-        self.metrics.gauge("peers", board.membership.alive().count() as u64);
-        let is_first_hand = Control::is_first_hand(&board);
+        self.metrics.gauge("upstreams", state.fleet.upstreams.len() as u64);
+        self.metrics.gauge("large_services", state.part.large.len() as u64);
+        self.metrics.gauge("share_halvings", u64::from(state.part.share.halvings()));
+        self.metrics.gauge("peers", state.membership.alive().count() as u64);
+        let is_first_hand = Control::is_first_hand(&state);
         self.metrics.gauge("is_watching_directory", u64::from(is_first_hand));
-        let age_ms = now_ms.saturating_sub(board.answered_ms);
+        let age_ms = now_ms.saturating_sub(state.answered_ms);
         self.metrics.gauge("directory_answer_age_ms", age_ms);
     }
 
     /// Whether this instance or a live peer has a working directory watch.
-    fn is_directory_heard(board: &Board) -> bool {
-        let mut alive = board.membership.alive();
-        Control::is_first_hand(board) || alive.any(|member| member.card.is_first_hand)
+    fn is_directory_heard(state: &ControlState) -> bool {
+        let mut alive = state.membership.alive();
+        Control::is_first_hand(state) || alive.any(|member| member.card.is_first_hand)
     }
 
     /// Whether this instance watches the directory and the directory answers it.
-    fn is_first_hand(board: &Board) -> bool {
-        board.is_watching && !board.is_directory_lost
+    fn is_first_hand(state: &ControlState) -> bool {
+        state.is_watching && !state.is_directory_lost
     }
 
-    fn versions(board: &Board) -> Versions {
+    fn versions(state: &ControlState) -> Versions {
         Versions {
-            config: board.config.as_ref().map_or(0, |config| config.version),
-            fleet: if board.has_fleet { board.fleet.revision } else { 0 },
+            config: state.config.as_ref().map_or(0, |config| config.version),
+            fleet: if state.has_fleet { state.fleet.revision } else { 0 },
         }
     }
 }
--- a/src/gateway/control/changes.rs
+++ b/src/gateway/control/changes.rs
@@ -10,7 +10,7 @@
 use super::super::loads::{Changes, Part};
 use super::super::membership::{Card, ChangesAsk, Message, Versions};
 use super::exchange::NEWS_MS;
-use super::{Board, Control, shares};
+use super::{Control, ControlState, shares};
 
 /// The maximum encoded size of pushed changes; if there are more, peers fetch them.
 const PUSHED_BYTES: usize = 8 << 10;
@@ -38,32 +38,32 @@
         loop {
             self.newer.notified().await;
             tokio::time::sleep(Duration::from_millis(NEWS_MS)).await;
-            let mut board = self.board.borrow_mut();
-            let versions = Control::versions(&board);
-            let told = std::mem::replace(&mut board.told_versions, versions);
+            let mut state = self.state.borrow_mut();
+            let versions = Control::versions(&state);
+            let told = std::mem::replace(&mut state.told_versions, versions);
             let is_config_new = told.config != versions.config;
-            let is_list_new = told.fleet != versions.fleet && board.part.share.is_all();
+            let is_list_new = told.fleet != versions.fleet && state.part.share.is_all();
             if !is_config_new && !is_list_new {
                 continue;
             }
-            let since = board.pushed.front().copied().unwrap_or(0);
-            let changes = self.changes(&mut board);
+            let since = state.pushed.front().copied().unwrap_or(0);
+            let changes = self.changes(&mut state);
             // Peers that hold only a part of the list receive the changes of that part, below.
             let hears = |card: &Card| is_config_new || card.share.is_all();
-            let alive = board.membership.alive().map(|member| &member.card);
+            let alive = state.membership.alive().map(|member| &member.card);
             let near = alive.filter(|card| hears(card)).map(|card| &card.registration);
             let near = near.filter(|other| other.domain == self.me.domain);
             let mut addrs: Vec<SocketAddr> = near.map(|other| other.peer_addr).collect();
             fastrand::shuffle(&mut addrs);
             addrs.truncate(NEWER_NEAR);
-            let mut far = self.one_of_each(&board, hears);
-            if !std::mem::take(&mut board.is_first_to_tell) {
+            let mut far = self.one_of_each(&state, hears);
+            if !std::mem::take(&mut state.is_first_to_tell) {
                 fastrand::shuffle(&mut far);
                 far.truncate(usize::from(fastrand::u32(..NEWER_FAR) == 0));
             }
             addrs.extend(far);
-            let parts = if is_list_new { self.parts_since(&board, since) } else { Vec::new() };
-            drop(board);
+            let parts = if is_list_new { self.parts_since(&state, since) } else { Vec::new() };
+            drop(state);
             self.send(&Message::Changes(changes), &addrs);
             for (addr, changes) in parts {
                 self.send(&Message::Changes(changes), &[addr]);
@@ -72,47 +72,47 @@
     }
 
     /// A message with the recent changes of the upstream list, or only with its revision if they are too long.
-    fn changes(&self, board: &mut Board) -> Changes {
-        let Versions { config, fleet } = Control::versions(board);
-        let since = board.pushed.front().copied().unwrap_or(0);
+    fn changes(&self, state: &mut ControlState) -> Changes {
+        let Versions { config, fleet } = Control::versions(state);
+        let since = state.pushed.front().copied().unwrap_or(0);
         let nothing = Changes {
             from: Arc::clone(&self.me.id),
             config,
             since: u64::MAX,
             fleet: Delta { revision: fleet, ..Delta::default() },
-            holder: self.list_holder_to_tell(board),
+            holder: self.list_holder_to_tell(state),
             part: None,
         };
-        if !board.part.share.is_all() {
+        if !state.part.share.is_all() {
             return nothing;
         }
-        board.pushed.push_back(fleet);
-        if board.pushed.len() > PUSHES_REPEATED {
-            board.pushed.pop_front();
+        state.pushed.push_back(fleet);
+        if state.pushed.len() > PUSHES_REPEATED {
+            state.pushed.pop_front();
         }
-        let delta = board.fleet.since(since);
+        let delta = state.fleet.since(since);
         if is_short(&delta) { Changes { since, fleet: delta, ..nothing } } else { nothing }
     }
 
     /// The changes since a revision for each peer that holds only a part of the list, if this instance is one
     /// of those that push them.
-    fn parts_since(&self, board: &Board, since: u64) -> Vec<(SocketAddr, Changes)> {
-        let is_pusher = Control::is_first_hand(board) && self.turn_of(board).before < PUSHERS;
-        if !is_pusher || board.part.large.is_empty() {
+    fn parts_since(&self, state: &ControlState, since: u64) -> Vec<(SocketAddr, Changes)> {
+        let is_pusher = Control::is_first_hand(state) && self.turn_of(state).before < PUSHERS;
+        if !is_pusher || state.part.large.is_empty() {
             return Vec::new();
         }
-        let delta = board.fleet.since(since);
+        let delta = state.fleet.since(since);
         if delta.is_whole {
             return Vec::new();
         }
-        let service_of = |id: &Arc<str>| board.fleet.service_of(id);
+        let service_of = |id: &Arc<str>| state.fleet.service_of(id);
         let gone: Vec<(Arc<str>, Arc<str>)> =
             delta.gone.iter().filter_map(|id| Some((Arc::clone(id), service_of(id)?))).collect();
-        let members = board.membership.alive().filter(|member| !member.card.share.is_all());
+        let members = state.membership.alive().filter(|member| !member.card.share.is_all());
         let mut parts = Vec::new();
         for member in members {
             let Card { registration, share, .. } = &member.card;
-            let part = Part { share: *share, large: board.part.large.clone() };
+            let part = Part { share: *share, large: state.part.large.clone() };
             let holds = shares::holds(&registration.id, &part);
             let is_held = |upstream: &&Upstream| holds(&upstream.id, &upstream.service);
             let gone = gone.iter().filter(|(id, service)| holds(id, service));
@@ -126,19 +126,19 @@
             if fleet.upstreams.is_empty() && fleet.gone.is_empty() {
                 continue;
             }
-            parts.push((registration.peer_addr, self.part_changes(board, since, fleet, part)));
+            parts.push((registration.peer_addr, self.part_changes(state, since, fleet, part)));
         }
         parts
     }
 
     /// A message with the changes of a part of the list since a revision, or only with the revision if there
     /// are too many.
-    fn part_changes(&self, board: &Board, since: u64, fleet: Delta, part: Part) -> Changes {
+    fn part_changes(&self, state: &ControlState, since: u64, fleet: Delta, part: Part) -> Changes {
         let is_short = is_short(&fleet);
         let nothing = Delta { revision: fleet.revision, ..Delta::default() };
         Changes {
             from: Arc::clone(&self.me.id),
-            config: Control::versions(board).config,
+            config: Control::versions(state).config,
             since: if is_short { since } else { u64::MAX },
             fleet: if is_short { fleet } else { nothing },
             holder: None,
@@ -152,18 +152,18 @@
         loop {
             let pause_ms = ASK_MS / 2 + fastrand::u64(..ASK_MS);
             tokio::time::sleep(Duration::from_millis(pause_ms)).await;
-            let board = self.board.borrow();
-            let has_part = board.has_fleet && !board.part.large.is_empty();
-            if !has_part || Control::is_first_hand(&board) {
+            let state = self.state.borrow();
+            let has_part = state.has_fleet && !state.part.large.is_empty();
+            if !has_part || Control::is_first_hand(&state) {
                 continue;
             }
             let ask = ChangesAsk {
                 id: Arc::clone(&self.me.id),
-                versions: Control::versions(&board),
-                share: board.part.share,
+                versions: Control::versions(&state),
+                share: state.part.share,
             };
-            let holders: Vec<SocketAddr> = Control::list_holders(&board).collect();
-            drop(board);
+            let holders: Vec<SocketAddr> = Control::list_holders(&state).collect();
+            drop(state);
             if let Some(addr) = fastrand::choice(holders) {
                 self.send(&Message::AskChanges(ask), &[addr]);
             }
@@ -171,17 +171,17 @@
     }
 
     pub(super) fn hear_changes_ask(&self, ask: &ChangesAsk, from: SocketAddr) {
-        let board = self.board.borrow();
-        let versions = Control::versions(&board);
+        let state = self.state.borrow();
+        let versions = Control::versions(&state);
         let is_newer = versions.config > ask.versions.config || versions.fleet > ask.versions.fleet;
-        if !board.part.share.is_all() || !is_newer {
+        if !state.part.share.is_all() || !is_newer {
             return;
         }
-        let part = Part { share: ask.share, large: board.part.large.clone() };
+        let part = Part { share: ask.share, large: state.part.large.clone() };
         let since = ask.versions.fleet;
-        let fleet = board.fleet.since_for(since, shares::holds(&ask.id, &part));
-        let changes = self.part_changes(&board, since, fleet, part);
-        drop(board);
+        let fleet = state.fleet.since_for(since, shares::holds(&ask.id, &part));
+        let changes = self.part_changes(&state, since, fleet, part);
+        drop(state);
         self.send(&Message::Changes(changes), &[from]);
     }
 
@@ -191,43 +191,43 @@
         from: SocketAddr,
         now_ms: u64,
     ) {
-        let mut board = self.board.borrow_mut();
+        let mut state = self.state.borrow_mut();
         let versions = Versions { config: changes.config, fleet: changes.fleet.revision };
-        board.membership.note_versions(&changes.from, versions);
+        state.membership.note_versions(&changes.from, versions);
         if let Some(part) = &changes.part {
-            self.follow_large(&mut board, part);
+            self.follow_large(&mut state, part);
         }
         let Changes { since, fleet: delta, part, holder, .. } = changes;
         if let Some(holder) = holder {
-            Control::note_list_holder(&mut board, holder);
+            Control::note_list_holder(&mut state, holder);
         }
-        let is_all = board.part.share.is_all();
-        let is_of_share = part.as_ref().is_none_or(|part| part.share == board.part.share);
+        let is_all = state.part.share.is_all();
+        let is_of_share = part.as_ref().is_none_or(|part| part.share == state.part.share);
         let is_whole_list = is_all && part.is_none_or(|part| part.share.is_all());
-        if is_whole_list && board.has_fleet && since <= board.fleet.revision {
-            drop(board);
+        if is_whole_list && state.has_fleet && since <= state.fleet.revision {
+            drop(state);
             self.take_delta(delta, from);
             self.publish();
-        } else if !is_all && board.has_fleet && is_of_share {
-            self.take_part(&mut board, since, delta, now_ms);
-            drop(board);
+        } else if !is_all && state.has_fleet && is_of_share {
+            self.take_part(&mut state, since, delta, now_ms);
+            drop(state);
             self.dirty.notify_one();
         } else {
-            drop(board);
+            drop(state);
         }
         self.fetch_if_behind(now_ms);
     }
 
     /// Applies changes of the upstreams that this instance holds.
-    fn take_part(&self, board: &mut Board, since: u64, mut delta: Delta, now_ms: u64) {
+    fn take_part(&self, state: &mut ControlState, since: u64, mut delta: Delta, now_ms: u64) {
         if since == u64::MAX {
             // The sender has more changes than fit into a message.
-            board.is_behind |= delta.revision > board.fleet.revision;
+            state.is_behind |= delta.revision > state.fleet.revision;
             return;
         }
-        let holds = shares::holds(&self.me.id, &board.part);
+        let holds = shares::holds(&self.me.id, &state.part);
         delta.upstreams.retain(|upstream| holds(&upstream.id, &upstream.service));
-        board.fleet.patch(delta, since, now_ms);
+        state.fleet.patch(delta, since, now_ms);
     }
 }
 
--- a/src/gateway/control/directory.rs
+++ b/src/gateway/control/directory.rs
@@ -12,7 +12,7 @@
 use super::super::policy::lease::Holder;
 use super::super::policy::subset::Share;
 use super::super::policy::watchers::{self, Turn};
-use super::{Board, Control};
+use super::{Control, ControlState};
 
 /// The pause after a first failed call; doubled with each further failure up to the maximum.
 const RETRY_MS: u64 = 150;
@@ -80,11 +80,11 @@
     /// The revision up to which peers sent this instance all upstreams and the newest configuration, so that it
     /// can watch from there without reading the whole directory.
     fn told_revision(&self) -> Option<u64> {
-        let board = self.board.borrow();
-        let versions = Control::versions(&board);
+        let state = self.state.borrow();
+        let versions = Control::versions(&state);
         let has_config =
-            board.config.is_some() && versions.config >= board.membership.newest_config();
-        (board.has_fleet && board.part.share.is_all() && has_config).then_some(versions.fleet)
+            state.config.is_some() && versions.config >= state.membership.newest_config();
+        (state.has_fleet && state.part.share.is_all() && has_config).then_some(versions.fleet)
     }
 
     /// Watches the directory for changes. Returns `true` once enough other instances watch it, and `false` if
@@ -96,7 +96,7 @@
         loop {
             let turn = self.turn();
             if !turn.watches() {
-                self.board.borrow_mut().is_watching = false;
+                self.state.borrow_mut().is_watching = false;
                 slog::info!(self.log, "stopped watching the directory; other instances watch it";
                     "revision" => revision);
                 return true;
@@ -142,31 +142,31 @@
 
     /// This instance's position among those that have a working directory watch.
     fn turn(&self) -> Turn {
-        self.turn_of(&self.board.borrow())
+        self.turn_of(&self.state.borrow())
     }
 
-    pub(super) fn turn_of(&self, board: &Board) -> Turn {
-        let first_hand = board.membership.alive().filter(|member| member.card.is_first_hand);
-        Turn::of(board.membership.my_rank(), first_hand.map(|member| member.card.rank()))
+    pub(super) fn turn_of(&self, state: &ControlState) -> Turn {
+        let first_hand = state.membership.alive().filter(|member| member.card.is_first_hand);
+        Turn::of(state.membership.my_rank(), first_hand.map(|member| member.card.rank()))
     }
 
     /// The factor on the retry pause by rank, so that few instances call an unreachable directory often.
     fn patience(&self) -> u64 {
-        Turn::patience(self.board.borrow().membership.before_me())
+        Turn::patience(self.state.borrow().membership.before_me())
     }
 
     fn should_watch(&self) -> bool {
         let now_ms = self.clock.now_ms();
         let turn = self.turn();
-        let board = self.board.borrow();
-        let before_me = board.membership.before_me();
-        if !board.has_fleet {
+        let state = self.state.borrow();
+        let before_me = state.membership.before_me();
+        if !state.has_fleet {
             if !self.has_seeds() {
                 return true;
             }
             // An instance that knows a peer soon receives the list from peers, and knows too few members yet
             // to compute its rank.
-            let is_alone = board.membership.alive().next().is_none();
+            let is_alone = state.membership.alive().next().is_none();
             let since_ms = if is_alone { START_MS } else { SETTLE_MS };
             return now_ms >= since_ms && watchers::may_read(before_me, now_ms - since_ms);
         }
@@ -174,7 +174,7 @@
         if is_settling || !turn.watches() {
             return false;
         }
-        let short_ms = board.few_watch_since_ms.map_or(0, |since_ms| now_ms - since_ms);
+        let short_ms = state.few_watch_since_ms.map_or(0, |since_ms| now_ms - since_ms);
         watchers::may_read(before_me, short_ms)
     }
 
@@ -195,7 +195,7 @@
         let seeds: Vec<SocketAddr> = self.settings.seeds.clone();
         let patience_ms = START_MS + fastrand::u64(..START_SPREAD_MS);
         let mut pause_ms = FIRST_PAUSE_MS;
-        while self.clock.now_ms() < patience_ms && !self.board.borrow().has_fleet {
+        while self.clock.now_ms() < patience_ms && !self.state.borrow().has_fleet {
             if pause_ms <= LAST_PAUSE_MS {
                 let seed = seeds[fastrand::usize(..seeds.len())];
                 if self.fetch_config(seed).await {
@@ -231,13 +231,13 @@
 
     pub(super) fn directory_answered(&self) {
         let now_ms = self.clock.now_ms();
-        let mut board = self.board.borrow_mut();
-        board.answered_ms = now_ms;
-        board.is_watching = true;
-        if board.is_directory_lost {
-            board.is_directory_lost = false;
-            if !std::mem::take(&mut board.is_outage_own) {
-                board.fleet.regained(now_ms);
+        let mut state = self.state.borrow_mut();
+        state.answered_ms = now_ms;
+        state.is_watching = true;
+        if state.is_directory_lost {
+            state.is_directory_lost = false;
+            if !std::mem::take(&mut state.is_outage_own) {
+                state.fleet.regained(now_ms);
             }
             slog::info!(self.log, "directory answers again");
         }
@@ -245,12 +245,12 @@
 
     pub(super) fn directory_failed(&self, fault: &Fault) {
         self.metrics.count("directory_faults");
-        let mut board = self.board.borrow_mut();
-        if !board.is_directory_lost {
-            board.is_directory_lost = true;
+        let mut state = self.state.borrow_mut();
+        if !state.is_directory_lost {
+            state.is_directory_lost = true;
             slog::warn!(self.log, "directory lost"; "why" => %fault,
-                "config_version" => board.config.as_ref().map_or(0, |config| config.version),
-                "fleet_revision" => board.fleet.revision);
+                "config_version" => state.config.as_ref().map_or(0, |config| config.version),
+                "fleet_revision" => state.fleet.revision);
             self.dirty.notify_one();
         }
     }
@@ -269,17 +269,17 @@
                 record => self.take_record(record),
             }
         }
-        let mut board = self.board.borrow_mut();
+        let mut state = self.state.borrow_mut();
         slog::info!(self.log, "directory listed"; "revision" => listing.revision,
             "upstreams" => upstreams.len());
-        if board.fleet.replace(listing.revision, upstreams, &foreign, now_ms) {
-            board.has_fleet = true;
+        if state.fleet.replace(listing.revision, upstreams, &foreign, now_ms) {
+            state.has_fleet = true;
         }
-        board.part.share = Share::ALL;
-        board.wanted_share = None;
-        Control::note_large(&mut board);
-        board.is_first_to_tell = true;
-        drop(board);
+        state.part.share = Share::ALL;
+        state.wanted_share = None;
+        Control::note_large(&mut state);
+        state.is_first_to_tell = true;
+        drop(state);
         self.publish();
     }
 
@@ -307,14 +307,14 @@
         for change in &of_upstreams {
             self.log_change(change);
             if let Change::Gone(id) | Change::Foreign(id) = change {
-                self.board.borrow_mut().found.remove(id);
+                self.state.borrow_mut().found.remove(id);
             }
         }
-        let mut board = self.board.borrow_mut();
-        board.fleet.apply(changes.revision, of_upstreams, now_ms);
-        Control::note_large(&mut board);
-        board.is_first_to_tell = true;
-        drop(board);
+        let mut state = self.state.borrow_mut();
+        state.fleet.apply(changes.revision, of_upstreams, now_ms);
+        Control::note_large(&mut state);
+        state.is_first_to_tell = true;
+        drop(state);
         self.publish();
     }
 
@@ -338,7 +338,7 @@
         match record {
             Record::Config(config) => self.take_config(config, "directory"),
             Record::Instance(registration) => {
-                self.board.borrow_mut().membership.contact(&registration);
+                self.state.borrow_mut().membership.contact(&registration);
             }
             Record::Crashes(record) => {
                 self.take_crashes(record, "directory");
@@ -355,9 +355,9 @@
     /// Records which instance holds the duties.
     fn note_holder(&self, holder: Option<Holder>) {
         let now_ms = self.clock.now_ms();
-        let mut board = self.board.borrow_mut();
-        board.duty_lease.note_holder(holder.as_ref(), now_ms);
-        board.duty_holder = holder;
+        let mut state = self.state.borrow_mut();
+        state.duty_lease.note_holder(holder.as_ref(), now_ms);
+        state.duty_holder = holder;
     }
 
     pub(super) async fn keep_registration(self: Rc<Control>) {
@@ -367,7 +367,7 @@
                 // A registration that was in progress when the stop began may have completed.
                 return self.release().await;
             }
-            let lease = self.board.borrow().lease;
+            let lease = self.state.borrow().lease;
             if lease.is_none() && !self.registers() {
                 let pause_ms = REGISTER_LOOK_MS + fastrand::u64(..REGISTER_LOOK_MS);
                 tokio::time::sleep(Duration::from_millis(pause_ms)).await;
@@ -383,7 +383,7 @@
                     retry_ms = RETRY_MOST_MS;
                     tokio::time::sleep(Duration::from_millis(RENEW_MS)).await;
                 }
-                Err(Fault::LeaseEnded) => self.board.borrow_mut().lease = None,
+                Err(Fault::LeaseEnded) => self.state.borrow_mut().lease = None,
                 Err(fault) => {
                     slog::info!(self.log, "could not register or renew the registration"; "why" => %fault);
                     tokio::time::sleep(Duration::from_millis(retry_ms)).await;
@@ -397,20 +397,20 @@
     /// instance with seeds to ask first waits until it knows the others.
     pub(super) fn registers(&self) -> bool {
         let now_ms = self.clock.now_ms();
-        let board = self.board.borrow();
-        let others = board.membership.alive().map(|member| member.card.rank());
+        let state = self.state.borrow();
+        let others = state.membership.alive().map(|member| member.card.rank());
         let knows_others = now_ms >= REGISTER_LOOK_MS || !self.has_seeds();
-        knows_others && watchers::registers(board.membership.my_rank(), others)
+        knows_others && watchers::registers(state.membership.my_rank(), others)
     }
 
     fn is_stopping(&self) -> bool {
-        self.board.borrow().phase == Phase::Stopping
+        self.state.borrow().phase == Phase::Stopping
     }
 
     pub(super) async fn register(&self) -> Result<(), Fault> {
         let registering = self.directory.register(&self.me, LEASE_MS);
         let lease = self.timed("register", registering).await?;
-        self.board.borrow_mut().lease = Some(lease);
+        self.state.borrow_mut().lease = Some(lease);
         Ok(())
     }
 }
--- a/src/gateway/control/duties.rs
+++ b/src/gateway/control/duties.rs
@@ -16,7 +16,7 @@
 use super::super::policy::usage::{Schedule, UsageNews, Window};
 use super::super::policy::watchers;
 use super::super::view::DutyView;
-use super::{Board, Control};
+use super::{Control, ControlState};
 use crate::clock;
 
 /// How often the lease and the duties are checked.
@@ -40,11 +40,11 @@
         loop {
             tokio::time::sleep(Duration::from_millis(TELL_MS)).await;
             let now_ms = self.clock.now_ms();
-            let mut board = self.board.borrow_mut();
+            let mut state = self.state.borrow_mut();
             for (organisation, began_ms) in self.shared.take_begun() {
-                board.counter.count(organisation, began_ms);
+                state.counter.count(organisation, began_ms);
             }
-            let slots = board.counter.told(now_ms);
+            let slots = state.counter.told(now_ms);
             if slots.is_empty() && now_ms < told_ms + TELL_NOTHING_MS {
                 continue;
             }
@@ -56,22 +56,22 @@
                 wall_ms: clock::wall_ms(),
                 slots,
             };
-            let addrs = self.duty_candidates(&board);
-            board.usage.hear(news.clone(), now_ms);
-            drop(board);
+            let addrs = self.duty_candidates(&state);
+            state.usage.hear(news.clone(), now_ms);
+            drop(state);
             self.send(&Message::Usage(news), &addrs);
         }
     }
 
     pub(super) fn hear_usage(&self, news: UsageNews) {
         let now_ms = self.clock.now_ms();
-        self.board.borrow_mut().usage.hear(news, now_ms);
+        self.state.borrow_mut().usage.hear(news, now_ms);
     }
 
     /// The other instances that may hold the lease.
-    fn duty_candidates(&self, board: &Board) -> Vec<SocketAddr> {
-        let me = (board.membership.my_rank(), self.me.peer_addr);
-        let alive = board.membership.alive();
+    fn duty_candidates(&self, state: &ControlState) -> Vec<SocketAddr> {
+        let me = (state.membership.my_rank(), self.me.peer_addr);
+        let alive = state.membership.alive();
         let alive = alive.map(|member| (member.card.rank(), member.card.registration.peer_addr));
         let mut first = watchers::duty_candidates(alive.chain([me]));
         first.retain(|addr| *addr != self.me.peer_addr);
@@ -122,14 +122,14 @@
     async fn keep_lease(&self, duties: &dyn DutyCalls) -> Result<(), Fault> {
         let now_ms = self.clock.now_ms();
         let action = {
-            let mut board = self.board.borrow_mut();
-            let before_me = board.membership.before_me();
-            let is_candidate = board.phase == Phase::Ready && watchers::may_hold(before_me);
-            let has_it = board.duty_lease.token(now_ms).is_some();
+            let mut state = self.state.borrow_mut();
+            let before_me = state.membership.before_me();
+            let is_candidate = state.phase == Phase::Ready && watchers::may_hold(before_me);
+            let has_it = state.duty_lease.token(now_ms).is_some();
             if !is_candidate && !has_it {
                 return Ok(());
             }
-            board.duty_lease.next(before_me, fastrand::u64(1..1 << 53), now_ms)
+            state.duty_lease.next(before_me, fastrand::u64(1..1 << 53), now_ms)
         };
         match action {
             None => Ok(()),
@@ -137,19 +137,19 @@
             Some(Action::ReadBack) => {
                 let holder = duties.holder().await?;
                 let now_ms = self.clock.now_ms();
-                let mut board = self.board.borrow_mut();
-                board.duty_lease.note_read(holder.as_ref(), now_ms);
-                board.duty_holder = holder;
+                let mut state = self.state.borrow_mut();
+                state.duty_lease.note_read(holder.as_ref(), now_ms);
+                state.duty_holder = holder;
                 Ok(())
             }
             Some(Action::Renew { lease }) => {
                 let renewed = self.directory.renew(lease).await;
-                let mut board = self.board.borrow_mut();
+                let mut state = self.state.borrow_mut();
                 match renewed {
-                    Ok(()) => board.duty_lease.note_renewed(now_ms),
+                    Ok(()) => state.duty_lease.note_renewed(now_ms),
                     Err(Fault::LeaseEnded) => {
                         slog::warn!(self.log, "the lease on the duties has ended");
-                        board.duty_lease.note_ended(self.clock.now_ms());
+                        state.duty_lease.note_ended(self.clock.now_ms());
                     }
                     Err(fault) => return Err(fault),
                 }
@@ -160,27 +160,27 @@
 
     async fn take_lease(&self, duties: &dyn DutyCalls, nonce: u64) -> Result<(), Fault> {
         let asked_ms = self.clock.now_ms();
-        let ttl_ms = self.board.borrow().duty_lease.ttl_ms();
+        let ttl_ms = self.state.borrow().duty_lease.ttl_ms();
         let lease = duties.grant(ttl_ms).await?;
         let taken = Try { nonce, lease, asked_ms };
         let written = duties.take(&self.me.id, nonce, lease).await;
         let now_ms = self.clock.now_ms();
-        let mut board = self.board.borrow_mut();
+        let mut state = self.state.borrow_mut();
         match written {
             Ok(Written::Now(token)) => {
-                board.duty_lease.note_taken(taken, token);
+                state.duty_lease.note_taken(taken, token);
                 slog::info!(self.log, "duties taken over"; "token" => token);
                 self.metrics.count("duties_taken");
                 Ok(())
             }
             Ok(Written::Before(holder)) => {
-                board.duty_lease.note_holder(Some(&holder), now_ms);
-                board.duty_holder = Some(holder);
+                state.duty_lease.note_holder(Some(&holder), now_ms);
+                state.duty_holder = Some(holder);
                 Ok(())
             }
             Err(fault @ Fault::Refused { .. }) => Err(fault),
             Err(fault) => {
-                board.duty_lease.note_unsure(taken);
+                state.duty_lease.note_unsure(taken);
                 Err(fault)
             }
         }
@@ -188,7 +188,7 @@
 
     /// The fence under which duty calls are made, if this instance holds the lease at this moment.
     fn fence(&self) -> Option<Fence> {
-        let token = self.board.borrow().duty_lease.token(self.clock.now_ms())?;
+        let token = self.state.borrow().duty_lease.token(self.clock.now_ms())?;
         Some(Fence { holder: self.me.id.clone(), token })
     }
 
@@ -203,7 +203,7 @@
             reported.clear();
             return Ok(());
         }
-        let true_ms = self.board.borrow().usage.true_ms(self.clock.now_ms());
+        let true_ms = self.state.borrow().usage.true_ms(self.clock.now_ms());
         let due: Vec<Window> = schedule.due(true_ms).collect();
         let oldest = due.first().map_or(0, |window| window.number);
         reported.retain(|number| *number >= oldest);
@@ -218,12 +218,12 @@
                     slog::info!(self.log, "usage reported"; "window" => window.number);
                     self.metrics.count("usage_reports");
                     reported.insert(window.number);
-                    self.board.borrow_mut().reported_window = Some(window.number);
+                    self.state.borrow_mut().reported_window = Some(window.number);
                 }
                 Err(Fault::Superseded) => {
                     slog::warn!(self.log, "usage report rejected: the lease has a newer holder";
                         "window" => window.number);
-                    self.board.borrow_mut().duty_lease.note_ended(self.clock.now_ms());
+                    self.state.borrow_mut().duty_lease.note_ended(self.clock.now_ms());
                     return Ok(());
                 }
                 Err(fault) => return Err(fault),
@@ -235,7 +235,7 @@
     /// The only report of a window: the one that an earlier holder stored, or else one of the present counts.
     /// It is stored before it is sent, so that a later holder sends the same report.
     async fn report_of(&self, duties: &dyn DutyCalls, window: Window) -> Result<Report, Fault> {
-        let counts = self.board.borrow().usage.counted(window);
+        let counts = self.state.borrow().usage.counted(window);
         let report = duties.report(window.number, &counts);
         match duties.store_report(window.number, report.clone()).await? {
             Written::Now(_) => Ok(report),
@@ -282,8 +282,8 @@
 
     fn due_orders(&self, scaler: &mut Scaler) -> Vec<Order> {
         let now_ms = self.clock.now_ms();
-        let board = self.board.borrow();
-        let Some(config) = board.config.as_ref().filter(|_| board.has_fleet) else {
+        let state = self.state.borrow();
+        let Some(config) = state.config.as_ref().filter(|_| state.has_fleet) else {
             return Vec::new();
         };
         let own = self.shared.own();
@@ -293,7 +293,7 @@
             let memory_tokens = service.engine.as_ref().and_then(|engine| engine.memory_tokens);
             let Some(memory_tokens) = memory_tokens else { continue };
             let of_service = || {
-                let all = board.fleet.upstreams.values();
+                let all = state.fleet.upstreams.values();
                 all.filter(|upstream| upstream.service == *name)
             };
             let mut workers: BTreeMap<(Arc<str>, bool), Seen> = BTreeMap::new();
@@ -303,10 +303,10 @@
                 let counted = if upstream.is_leaving { &mut seen.leaving } else { &mut seen.ready };
                 *counted += 1;
             }
-            let held = board.loads.held();
+            let held = state.loads.held();
             let others = of_service().filter_map(|upstream| held.get(&upstream.id));
             let is_of_service = |held: &&Held| {
-                let upstream = board.fleet.upstreams.get(&held.upstream);
+                let upstream = state.fleet.upstreams.get(&held.upstream);
                 upstream.is_some_and(|upstream| upstream.service == *name)
             };
             let all = others.chain(own.held.iter().filter(is_of_service));
@@ -319,14 +319,14 @@
     }
 
     fn publish_duties(&self) {
-        let board = self.board.borrow();
-        let token = board.duty_lease.token(self.clock.now_ms());
+        let state = self.state.borrow();
+        let token = state.duty_lease.token(self.clock.now_ms());
         let holder = match token {
             Some(_) => Some(self.me.id.clone()),
-            None => board.duty_holder.as_ref().map(|holder| holder.id.clone()),
+            None => state.duty_holder.as_ref().map(|holder| holder.id.clone()),
         };
-        let reported = board.reported_window;
-        drop(board);
+        let reported = state.reported_window;
+        drop(state);
         self.metrics.gauge("holds_duties", u64::from(token.is_some()));
         self.shared.set_duties(DutyView { holder, token, reported });
     }
--- a/src/gateway/control/exchange.rs
+++ b/src/gateway/control/exchange.rs
@@ -11,7 +11,7 @@
 use super::super::loads::{DIGEST_MS, Digest, LoadNews};
 use super::super::membership::{self, Card, GOSSIP_MS, Message, PROBE_MS, Probe, Rumor};
 use super::super::policy::watchers;
-use super::{Board, Control, LOST_TOLD_MS};
+use super::{Control, ControlState, LOST_TOLD_MS};
 
 /// How long updates are batched before they are sent: a burst of routed requests or lost upstreams comes
 /// within a few milliseconds.
@@ -24,7 +24,7 @@
 impl Control {
     /// Sends the pending messages of the membership protocol.
     pub(super) fn flush(&self) {
-        let messages = self.board.borrow_mut().membership.take_messages();
+        let messages = self.state.borrow_mut().membership.take_messages();
         for (addr, message) in messages {
             self.send(&message, &[addr]);
         }
@@ -40,24 +40,24 @@
     }
 
     /// The live peers in this failure domain.
-    pub(super) fn near_peers(&self, board: &Board) -> Vec<SocketAddr> {
-        let alive = board.membership.alive().map(|member| &member.card.registration);
+    pub(super) fn near_peers(&self, state: &ControlState) -> Vec<SocketAddr> {
+        let alive = state.membership.alive().map(|member| &member.card.registration);
         let near = alive.filter(|other| other.domain == self.me.domain);
         near.map(|other| other.peer_addr).collect()
     }
 
     /// One random live peer of each other failure domain.
-    pub(super) fn one_of_each_other_domain(&self, board: &Board) -> Vec<SocketAddr> {
-        self.one_of_each(board, |_| true)
+    pub(super) fn one_of_each_other_domain(&self, state: &ControlState) -> Vec<SocketAddr> {
+        self.one_of_each(state, |_| true)
     }
 
     /// One random live peer of each other failure domain among those that satisfy `holds`.
     pub(super) fn one_of_each(
         &self,
-        board: &Board,
+        state: &ControlState,
         holds: impl Fn(&Card) -> bool,
     ) -> Vec<SocketAddr> {
-        let cards = board.membership.alive().map(|member| &member.card);
+        let cards = state.membership.alive().map(|member| &member.card);
         let alive = cards.filter(|card| holds(card)).map(|card| &card.registration);
         let mut far: Vec<&Registration> =
             alive.filter(|other| other.domain != self.me.domain).collect();
@@ -87,31 +87,31 @@
 
     /// Advances the membership protocol, and drops what has expired.
     fn end_round(&self, now_ms: u64) {
-        let mut board = self.board.borrow_mut();
-        board.membership.tick(now_ms, &mut fastrand::Rng::new());
-        board.fleet.expire(now_ms);
-        board.guests.retain(|_, guest| guest.until_ms > now_ms);
-        let is_heard = Control::is_directory_heard(&board);
-        let first_hand = board.membership.alive().filter(|member| member.card.is_first_hand);
-        let watching = first_hand.count() + usize::from(Control::is_first_hand(&board));
+        let mut state = self.state.borrow_mut();
+        state.membership.tick(now_ms, &mut fastrand::Rng::new());
+        state.fleet.expire(now_ms);
+        state.guests.retain(|_, guest| guest.until_ms > now_ms);
+        let is_heard = Control::is_directory_heard(&state);
+        let first_hand = state.membership.alive().filter(|member| member.card.is_first_hand);
+        let watching = first_hand.count() + usize::from(Control::is_first_hand(&state));
         if watchers::are_enough(watching) {
-            board.few_watch_since_ms = None;
+            state.few_watch_since_ms = None;
         } else {
-            board.few_watch_since_ms.get_or_insert(now_ms);
+            state.few_watch_since_ms.get_or_insert(now_ms);
         }
-        if board.found.note_directory(is_heard, now_ms) {
+        if state.found.note_directory(is_heard, now_ms) {
             slog::info!(self.log, "rediscovered engines dropped; only the directory's list counts");
         }
-        board.loads.forget(now_ms);
-        board.quarantine.forget(now_ms);
-        board.named_rates.forget(now_ms);
-        board.departures.forget(now_ms);
+        state.loads.forget(now_ms);
+        state.quarantine.forget(now_ms);
+        state.named_rates.forget(now_ms);
+        state.departures.forget(now_ms);
     }
 
     /// Gossips rumors: new ones at once, and each repeated in a few more rounds.
     pub(super) async fn gossip(self: Rc<Control>) {
         loop {
-            let has_rumors = self.board.borrow().membership.has_rumors();
+            let has_rumors = self.state.borrow().membership.has_rumors();
             if has_rumors {
                 tokio::select! {
                     () = self.rumors.notified() => {}
@@ -122,7 +122,7 @@
             }
             // Rumors that follow at once go into the same message.
             tokio::time::sleep(Duration::from_millis(NEWS_MS)).await;
-            self.board.borrow_mut().membership.gossip(&mut fastrand::Rng::new());
+            self.state.borrow_mut().membership.gossip(&mut fastrand::Rng::new());
             self.flush();
         }
     }
@@ -134,29 +134,29 @@
             tokio::time::sleep(Duration::from_millis(NEWS_MS)).await;
             let now_ms = self.clock.now_ms();
             let own = self.shared.own();
-            let mut board = self.board.borrow_mut();
-            board.loads.note_own(&own, now_ms);
-            let Some(change) = board.told.take(own) else { continue };
-            board.loads.note_places(&change.places, now_ms);
+            let mut state = self.state.borrow_mut();
+            state.loads.note_own(&own, now_ms);
+            let Some(change) = state.told.take(own) else { continue };
+            state.loads.note_places(&change.places, now_ms);
             for id in change.lost {
-                self.note_lost(&mut board, id, now_ms);
+                self.note_lost(&mut state, id, now_ms);
             }
             let sent = change.sent;
-            let news = self.load_news(&mut board);
+            let news = self.load_news(&mut state);
             let news = LoadNews { held: change.held, sent, places: change.places, ..news };
-            let near = board.placing_near.clone();
-            drop(board);
+            let near = state.placing_near.clone();
+            drop(state);
             self.send(&Message::Loads(news), &near);
         }
     }
 
     /// An empty load update with the next sequence number.
-    fn load_news(&self, board: &mut Board) -> LoadNews {
-        board.messages += 1;
+    fn load_news(&self, state: &mut ControlState) -> LoadNews {
+        state.messages += 1;
         LoadNews {
             id: Arc::clone(&self.me.id),
             incarnation: self.me.incarnation,
-            count: board.messages,
+            count: state.messages,
             is_whole: false,
             held: Vec::new(),
             sent: None,
@@ -169,24 +169,24 @@
     fn refresh_loads(&self) {
         let now_ms = self.clock.now_ms();
         let own = self.shared.own();
-        let mut board = self.board.borrow_mut();
-        let sent_by_ended = board.loads.own_ended(now_ms);
+        let mut state = self.state.borrow_mut();
+        let sent_by_ended = state.loads.own_ended(now_ms);
         let news = LoadNews {
             is_whole: true,
             held: own.held,
             sent: Some(own.sent),
             sent_by_ended,
-            ..self.load_news(&mut board)
+            ..self.load_news(&mut state)
         };
         let says_nothing = news.held.is_empty()
             && news.sent_by_ended.is_empty()
             && news.sent.iter().flatten().all(|sent| sent.requests + sent.repeats == 0);
-        if says_nothing && std::mem::replace(&mut board.has_told_nothing, true) {
+        if says_nothing && std::mem::replace(&mut state.has_told_nothing, true) {
             return;
         }
-        board.has_told_nothing = says_nothing;
-        let mut near = board.placing_near.clone();
-        drop(board);
+        state.has_told_nothing = says_nothing;
+        let mut near = state.placing_near.clone();
+        drop(state);
         fastrand::shuffle(&mut near);
         near.truncate(REFRESHED);
         self.send(&Message::Loads(news), &near);
@@ -196,19 +196,19 @@
     /// domain, so that together they send at a constant rate.
     pub(super) async fn tell_digests(self: Rc<Control>) {
         loop {
-            let here = self.board.borrow().placing_near.len() as u64 + 1;
+            let here = self.state.borrow().placing_near.len() as u64 + 1;
             let pause_ms = here * DIGEST_MS / 2 + fastrand::u64(..=here * DIGEST_MS);
             tokio::time::sleep(Duration::from_millis(pause_ms)).await;
             let now_ms = self.clock.now_ms();
             let own = self.shared.own();
-            let mut board = self.board.borrow_mut();
-            if !board.is_placing {
+            let mut state = self.state.borrow_mut();
+            if !state.is_placing {
                 // This instance doesn't receive the load of the others.
                 continue;
             }
-            let far = self.one_of_each_other_domain(&board);
-            let digest = board.loads.digest(&own, now_ms, &mut fastrand::Rng::new());
-            drop(board);
+            let far = self.one_of_each_other_domain(&state);
+            let digest = state.loads.digest(&own, now_ms, &mut fastrand::Rng::new());
+            drop(state);
             self.send(&Message::Digest(digest), &far);
         }
     }
@@ -229,11 +229,11 @@
 
     fn hear(self: &Rc<Control>, message: Message, from: SocketAddr) {
         let now_ms = self.clock.now_ms();
-        self.board.borrow_mut().membership.note_heard(now_ms);
+        self.state.borrow_mut().membership.note_heard(now_ms);
         match message {
             Message::Ping(probe) => {
                 let sender = &probe.card.registration.id;
-                let is_new = self.board.borrow().membership.get(sender).is_none();
+                let is_new = self.state.borrow().membership.get(sender).is_none();
                 if is_new {
                     self.tell_quarantine(&[from]);
                 }
@@ -245,18 +245,18 @@
                 membership.hear_ack(probe, now_ms);
             }),
             Message::PingOther(probe, target) => {
-                self.board.borrow_mut().membership.hear_ping_other(probe, target, from);
+                self.state.borrow_mut().membership.hear_ping_other(probe, target, from);
                 self.flush();
             }
             Message::Rumors(rumors) => self.hear_rumors(rumors, now_ms),
             Message::Sums(sums, is_answer) => {
-                let mut board = self.board.borrow_mut();
-                board.membership.hear_sums(&sums, is_answer, from, &mut fastrand::Rng::new());
-                drop(board);
+                let mut state = self.state.borrow_mut();
+                state.membership.hear_sums(&sums, is_answer, from, &mut fastrand::Rng::new());
+                drop(state);
                 self.flush();
             }
             Message::Members(members) => {
-                self.board.borrow_mut().membership.hear_members(members, now_ms);
+                self.state.borrow_mut().membership.hear_members(members, now_ms);
                 self.note_membership();
                 self.dirty.notify_one();
             }
@@ -283,7 +283,7 @@
         if sender.id == self.me.id && sender.incarnation == self.me.incarnation {
             return;
         }
-        hear(&mut self.board.borrow_mut().membership, probe);
+        hear(&mut self.state.borrow_mut().membership, probe);
         self.flush();
         self.note_membership();
         self.fetch_if_behind(now_ms);
@@ -291,8 +291,8 @@
 
     /// Triggers gossip and publication after membership messages that brought changes.
     fn note_membership(&self) {
-        let board = self.board.borrow();
-        if board.membership.has_rumors() {
+        let state = self.state.borrow();
+        if state.membership.has_rumors() {
             self.rumors.notify_one();
             self.dirty.notify_one();
         }
@@ -302,10 +302,10 @@
         for rumor in rumors {
             match rumor {
                 Rumor::Member { card, standing, by } => {
-                    let mut board = self.board.borrow_mut();
-                    board.membership.hear_of(card, standing, by, now_ms);
+                    let mut state = self.state.borrow_mut();
+                    state.membership.hear_of(card, standing, by, now_ms);
                 }
-                Rumor::Lost(id) => self.note_lost(&mut self.board.borrow_mut(), id, now_ms),
+                Rumor::Lost(id) => self.note_lost(&mut self.state.borrow_mut(), id, now_ms),
                 Rumor::Found(upstream) => self.take_found(upstream),
                 Rumor::Ended(end) => self.hear_end(end, now_ms),
                 Rumor::Crashes(told) => self.hear_crashes(told),
@@ -315,40 +315,40 @@
     }
 
     /// Records that an upstream was lost, and spreads it to all instances if it was not known.
-    fn note_lost(&self, board: &mut Board, id: Arc<str>, now_ms: u64) {
-        let is_known = board.lost.get(&id).is_some_and(|until_ms| *until_ms > now_ms);
+    fn note_lost(&self, state: &mut ControlState, id: Arc<str>, now_ms: u64) {
+        let is_known = state.lost.get(&id).is_some_and(|until_ms| *until_ms > now_ms);
         if is_known {
             return;
         }
-        board.lost.insert(Arc::clone(&id), now_ms + LOST_TOLD_MS);
-        if let Some(upstream) = board.fleet.upstreams.get(&id).cloned() {
-            board.quarantine.note_end(&upstream, now_ms);
+        state.lost.insert(Arc::clone(&id), now_ms + LOST_TOLD_MS);
+        if let Some(upstream) = state.fleet.upstreams.get(&id).cloned() {
+            state.quarantine.note_end(&upstream, now_ms);
         }
-        board.membership.tell(Rumor::Lost(id));
+        state.membership.tell(Rumor::Lost(id));
         self.rumors.notify_one();
         self.dirty.notify_one();
     }
 
     fn hear_loads(&self, news: LoadNews, now_ms: u64) {
-        let mut board = self.board.borrow_mut();
-        let sender = board.membership.get(&news.id);
+        let mut state = self.state.borrow_mut();
+        let sender = state.membership.get(&news.id);
         let is_here = sender.is_some_and(|sender| {
             sender.is_alive() && sender.card.registration.domain == self.me.domain
         });
-        if is_here && board.loads.hear(news, now_ms) {
+        if is_here && state.loads.hear(news, now_ms) {
             self.dirty.notify_one();
         }
     }
 
     fn hear_digest(&self, digest: Digest, now_ms: u64) {
-        let mut board = self.board.borrow_mut();
+        let mut state = self.state.borrow_mut();
         let passed_on =
             digest.is_passed_on.then(|| Digest { is_passed_on: false, ..digest.clone() });
-        if !board.loads.hear_digest(digest, now_ms) {
+        if !state.loads.hear_digest(digest, now_ms) {
             return;
         }
-        let near = board.placing_near.clone();
-        drop(board);
+        let near = state.placing_near.clone();
+        drop(state);
         self.dirty.notify_one();
         if let Some(digest) = passed_on {
             self.send(&Message::Digest(digest), &near);
--- a/src/gateway/control/knowledge.rs
+++ b/src/gateway/control/knowledge.rs
@@ -24,7 +24,7 @@
 use super::super::membership::Member;
 use super::super::policy::subset::{self, Share};
 use super::super::route::Config;
-use super::{Board, Control, shares};
+use super::{Control, ControlState, shares};
 
 /// How long an instance that watches the directory waits before it fetches a newer version from a peer: the
 /// directory's own answer is usually under way.
@@ -110,54 +110,54 @@
 impl Control {
     /// Answers a peer's request for the configuration; `None` if this instance has no newer one.
     pub fn config_for(&self, asked: ConfigAsk) -> Option<Arc<Config>> {
-        let config = self.board.borrow().config.clone();
+        let config = self.state.borrow().config.clone();
         config.filter(|config| config.version > asked.known)
     }
 
     /// Answers a peer's request for the upstream list; `None` if this instance doesn't hold the full list.
     pub fn list_for(&self, asked: &ListAsk) -> Option<Listed> {
-        let board = self.board.borrow();
-        if !board.has_fleet || !board.part.share.is_all() {
+        let state = self.state.borrow();
+        if !state.has_fleet || !state.part.share.is_all() {
             return None;
         }
         let large = || {
-            let services = board.fleet.upstreams.values().map(|upstream| &upstream.service);
-            services.filter(|service| board.part.large.contains(*service))
+            let services = state.fleet.upstreams.values().map(|upstream| &upstream.service);
+            services.filter(|service| state.part.large.contains(*service))
         };
         let share = asked.share.unwrap_or_else(|| subset::first_share(large()));
-        let part = Part { share, large: board.part.large.clone() };
+        let part = Part { share, large: state.part.large.clone() };
         let holds = shares::holds(&asked.id, &part);
         if asked.since > 0 && asked.after.is_empty() {
-            let delta = board.fleet.since_for(asked.since, &holds);
+            let delta = state.fleet.since_for(asked.since, &holds);
             if !delta.is_whole {
                 return Some(Listed { part, content: Content::Changes(delta) });
             }
         }
-        let content = Content::Page(board.fleet.page(&asked.after, holds));
+        let content = Content::Page(state.fleet.page(&asked.after, holds));
         Some(Listed { part, content })
     }
 
     /// Fetches newer versions from peers: at once if this instance doesn't watch the directory, else after a
     /// delay in which the directory usually answers.
     pub(super) fn fetch_if_behind(self: &Rc<Control>, now_ms: u64) {
-        let mut board = self.board.borrow_mut();
-        let known = Control::versions(&board);
-        let config_source = self.source(&board, |member| member.versions.config > known.config);
-        let list_source = self.list_source(&board, now_ms);
+        let mut state = self.state.borrow_mut();
+        let known = Control::versions(&state);
+        let config_source = self.source(&state, |member| member.versions.config > known.config);
+        let list_source = self.list_source(&state, now_ms);
         if config_source.is_none() && list_source.is_none() {
-            board.behind_since_ms = None;
+            state.behind_since_ms = None;
             return;
         }
-        let since_ms = *board.behind_since_ms.get_or_insert(now_ms);
+        let since_ms = *state.behind_since_ms.get_or_insert(now_ms);
         let behind_ms = now_ms.saturating_sub(since_ms);
-        if board.is_watching && behind_ms < BEHIND_MS && board.has_fleet {
+        if state.is_watching && behind_ms < BEHIND_MS && state.has_fleet {
             return;
         }
-        if board.is_watching && behind_ms >= BROKEN_WATCH_MS {
-            board.behind_since_ms = None;
+        if state.is_watching && behind_ms >= BROKEN_WATCH_MS {
+            state.behind_since_ms = None;
             self.broken_watch.notify_one();
         }
-        drop(board);
+        drop(state);
         if let Some(addr) = config_source {
             self.start_config_fetch(addr);
         }
@@ -167,7 +167,7 @@
     }
 
     fn start_config_fetch(self: &Rc<Control>, addr: SocketAddr) {
-        if std::mem::replace(&mut self.board.borrow_mut().is_fetching_config, true) {
+        if std::mem::replace(&mut self.state.borrow_mut().is_fetching_config, true) {
             return;
         }
         let control = Rc::clone(self);
@@ -175,28 +175,28 @@
             if !control.fetch_config(addr).await {
                 tokio::time::sleep(Duration::from_millis(retry_pause_ms())).await;
             }
-            control.board.borrow_mut().is_fetching_config = false;
+            control.state.borrow_mut().is_fetching_config = false;
         });
     }
 
     fn start_list_fetch(self: &Rc<Control>, addr: SocketAddr) {
-        if std::mem::replace(&mut self.board.borrow_mut().is_fetching_list, true) {
+        if std::mem::replace(&mut self.state.borrow_mut().is_fetching_list, true) {
             return;
         }
         let control = Rc::clone(self);
         tokio::task::spawn_local(async move {
             let is_fetched = control.fetch_list(addr).await;
-            let mut board = control.board.borrow_mut();
-            board.is_fetching_list = false;
+            let mut state = control.state.borrow_mut();
+            state.is_fetching_list = false;
             if !is_fetched {
-                board.list_retry_ms = control.clock.now_ms() + retry_pause_ms();
+                state.list_retry_ms = control.clock.now_ms() + retry_pause_ms();
             }
         });
     }
 
     /// Fetches the configuration from a peer. Returns whether the peer had a newer one.
     pub(super) async fn fetch_config(&self, addr: SocketAddr) -> bool {
-        let known = Control::versions(&self.board.borrow()).config;
+        let known = Control::versions(&self.state.borrow()).config;
         let asked: Option<Option<Arc<Config>>> = ask(addr, CONFIG_PATH, &ConfigAsk { known }).await;
         match asked {
             Some(Some(config)) => {
@@ -244,9 +244,9 @@
     }
 
     fn list_ask(&self, pages: &Pages) -> ListAsk {
-        let board = self.board.borrow();
-        let since = if board.wanted_share.is_some() { 0 } else { Control::versions(&board).fleet };
-        let wanted = board.wanted_share.or(board.has_fleet.then_some(board.part.share));
+        let state = self.state.borrow();
+        let since = if state.wanted_share.is_some() { 0 } else { Control::versions(&state).fleet };
+        let wanted = state.wanted_share.or(state.has_fleet.then_some(state.part.share));
         ListAsk {
             id: Arc::clone(&self.me.id),
             since,
@@ -257,16 +257,16 @@
 
     /// A peer other than `failed` that may hold the full list; `failed` if there is none.
     fn other_source(&self, failed: SocketAddr) -> SocketAddr {
-        let board = self.board.borrow();
-        let told = board.list_holders_told.iter().copied();
-        let all = told.chain(Control::list_holders(&board));
+        let state = self.state.borrow();
+        let told = state.list_holders_told.iter().copied();
+        let all = told.chain(Control::list_holders(&state));
         let others: Vec<SocketAddr> = all.filter(|addr| *addr != failed).collect();
         fastrand::choice(others).unwrap_or(failed)
     }
 
     /// A random live peer that satisfies `holds`, preferably of this failure domain.
-    fn source(&self, board: &Board, holds: impl Fn(&Member) -> bool) -> Option<SocketAddr> {
-        let fitting = board.membership.alive().filter(|member| holds(member));
+    fn source(&self, state: &ControlState, holds: impl Fn(&Member) -> bool) -> Option<SocketAddr> {
+        let fitting = state.membership.alive().filter(|member| holds(member));
         let fitting: Vec<&Registration> = fitting.map(|member| &member.card.registration).collect();
         let is_near = |other: &&&Registration| other.domain == self.me.domain;
         let near: Vec<&Registration> = fitting.iter().filter(is_near).copied().collect();
@@ -277,84 +277,84 @@
     /// The peer to fetch the list from, if this instance has none, needs another share, missed changes, or
     /// knows of a newer list. Changes of a part are pushed, so an instance that holds only a part doesn't
     /// fetch a list for being newer.
-    fn list_source(&self, board: &Board, now_ms: u64) -> Option<SocketAddr> {
-        if board.is_fetching_list || now_ms < board.list_retry_ms {
+    fn list_source(&self, state: &ControlState, now_ms: u64) -> Option<SocketAddr> {
+        if state.is_fetching_list || now_ms < state.list_retry_ms {
             return None;
         }
-        let known = Control::versions(board).fleet;
+        let known = Control::versions(state).fleet;
         let holds_newer =
             |member: &Member| member.card.share.is_all() && member.versions.fleet > known;
-        let is_told = !board.part.share.is_all();
-        if board.has_fleet && board.wanted_share.is_none() && !is_told {
-            return self.source(board, holds_newer);
+        let is_told = !state.part.share.is_all();
+        if state.has_fleet && state.wanted_share.is_none() && !is_told {
+            return self.source(state, holds_newer);
         }
-        if board.has_fleet && board.wanted_share.is_none() && !board.is_behind {
+        if state.has_fleet && state.wanted_share.is_none() && !state.is_behind {
             return None;
         }
-        let told = fastrand::choice(&board.list_holders_told).copied();
-        let by_rank = || fastrand::choice(Control::list_holders(board).collect::<Vec<_>>());
-        if board.has_fleet {
+        let told = fastrand::choice(&state.list_holders_told).copied();
+        let by_rank = || fastrand::choice(Control::list_holders(state).collect::<Vec<_>>());
+        if state.has_fleet {
             return told.or_else(by_rank);
         }
         // Before any instance has the list, requests would only slow down those that are reading it.
         let is_overdue = now_ms >= LIST_OVERDUE_MS;
-        told.or_else(|| self.source(board, holds_newer))
+        told.or_else(|| self.source(state, holds_newer))
             .or_else(|| by_rank().filter(|_| is_overdue))
     }
 
     /// Records the address of an instance that holds the full list, as reported by a peer.
-    pub(super) fn note_list_holder(board: &mut Board, addr: SocketAddr) {
-        if !board.list_holders_told.contains(&addr) {
-            board.list_holders_told.push_back(addr);
+    pub(super) fn note_list_holder(state: &mut ControlState, addr: SocketAddr) {
+        if !state.list_holders_told.contains(&addr) {
+            state.list_holders_told.push_back(addr);
         }
-        if board.list_holders_told.len() > MOST_HOLDERS_TOLD {
-            board.list_holders_told.pop_front();
+        if state.list_holders_told.len() > MOST_HOLDERS_TOLD {
+            state.list_holders_told.pop_front();
         }
     }
 
     /// The address of an instance that holds the full list, to be reported to peers.
-    pub(super) fn list_holder_to_tell(&self, board: &Board) -> Option<SocketAddr> {
-        if board.has_fleet && board.part.share.is_all() {
+    pub(super) fn list_holder_to_tell(&self, state: &ControlState) -> Option<SocketAddr> {
+        if state.has_fleet && state.part.share.is_all() {
             return Some(self.me.peer_addr);
         }
-        fastrand::choice(&board.list_holders_told).copied()
+        fastrand::choice(&state.list_holders_told).copied()
     }
 
     /// The addresses of the live peers that should hold the full list by their rank.
-    pub(super) fn list_holders(board: &Board) -> impl Iterator<Item = SocketAddr> {
-        board.membership.keepers().into_iter().map(|member| member.card.registration.peer_addr)
+    pub(super) fn list_holders(state: &ControlState) -> impl Iterator<Item = SocketAddr> {
+        state.membership.keepers().into_iter().map(|member| member.card.registration.peer_addr)
     }
 
     fn take_pages(&self, pages: Pages, from: SocketAddr) {
         let now_ms = self.clock.now_ms();
         let Pages { part: Some(part), revision, pages } = pages else { return };
-        let mut board = self.board.borrow_mut();
+        let mut state = self.state.borrow_mut();
         slog::info!(self.log, "upstreams fetched from peers"; "peer" => %from,
-            "revision" => revision, "before" => board.fleet.revision, "pages" => pages.len(),
+            "revision" => revision, "before" => state.fleet.revision, "pages" => pages.len(),
             "halvings" => part.share.halvings());
-        board.has_fleet = true;
-        board.is_outage_own = board.is_directory_lost;
-        board.fleet.adopt(revision, pages, now_ms);
-        board.is_behind = false;
-        board.wanted_share = None;
-        board.part = part;
-        drop(board);
+        state.has_fleet = true;
+        state.is_outage_own = state.is_directory_lost;
+        state.fleet.adopt(revision, pages, now_ms);
+        state.is_behind = false;
+        state.wanted_share = None;
+        state.part = part;
+        drop(state);
         self.publish();
     }
 
     /// Applies fetched changes since a revision.
     fn take_changes_since(&self, since: u64, delta: Delta, part: &Part, from: SocketAddr) {
-        let mut board = self.board.borrow_mut();
-        self.follow_large(&mut board, part);
-        board.is_behind = false;
-        if board.part.share.is_all() {
-            drop(board);
+        let mut state = self.state.borrow_mut();
+        self.follow_large(&mut state, part);
+        state.is_behind = false;
+        if state.part.share.is_all() {
+            drop(state);
             self.take_delta(delta, from);
-        } else if board.part.share == part.share {
-            board.fleet.patch(delta, since, self.clock.now_ms());
-            drop(board);
+        } else if state.part.share == part.share {
+            state.fleet.patch(delta, since, self.clock.now_ms());
+            drop(state);
         } else {
-            drop(board);
+            drop(state);
         }
         self.publish();
     }
@@ -362,15 +362,15 @@
     /// Applies a peer's changes to the full list, if they are newer.
     pub(super) fn take_delta(&self, delta: Delta, from: SocketAddr) {
         let now_ms = self.clock.now_ms();
-        let mut board = self.board.borrow_mut();
+        let mut state = self.state.borrow_mut();
         let revision = delta.revision;
-        let is_newer = revision > board.fleet.revision || !board.has_fleet;
+        let is_newer = revision > state.fleet.revision || !state.has_fleet;
         if is_newer && revision > 0 {
-            board.has_fleet = true;
-            board.is_outage_own = board.is_directory_lost;
+            state.has_fleet = true;
+            state.is_outage_own = state.is_directory_lost;
             slog::debug!(self.log, "upstream changes from a peer applied"; "peer" => %from,
-                "revision" => revision, "before" => board.fleet.revision);
-            board.fleet.take(delta, now_ms);
+                "revision" => revision, "before" => state.fleet.revision);
+            state.fleet.take(delta, now_ms);
         }
     }
 }
--- a/src/gateway/control/permits.rs
+++ b/src/gateway/control/permits.rs
@@ -8,7 +8,7 @@
 use super::super::policy::rate_limit::{self, Liveness};
 use super::super::rate::{Permit, Rate};
 use super::super::view::PermitRequest;
-use super::{Board, Control};
+use super::{Control, ControlState};
 
 /// How long an instance that fell silent is assumed to be possibly alive beyond a network partition, where
 /// another owner grants permits for the same rate limit.
@@ -18,40 +18,40 @@
     /// Answers a permit request of this instance, or sends it to the owner of the bucket.
     pub(super) fn ask_permit(&self, request: PermitRequest) {
         let PermitRequest { upstream, rate, answer } = request;
-        let mut board = self.board.borrow_mut();
-        let Some(owner) = self.bucket_owner(&board, &upstream) else {
-            let permit = self.grant(&mut board, &upstream, rate);
+        let mut state = self.state.borrow_mut();
+        let Some(owner) = self.bucket_owner(&state, &upstream) else {
+            let permit = self.grant(&mut state, &upstream, rate);
             // The requester may have given up.
             let _ = answer.send(permit);
             return;
         };
-        board.permits.retain(|_, waiting| !waiting.is_closed());
-        board.permit_number += 1;
-        let number = board.permit_number;
-        board.permits.insert(number, answer);
-        drop(board);
+        state.permits.retain(|_, waiting| !waiting.is_closed());
+        state.permit_number += 1;
+        let number = state.permit_number;
+        state.permits.insert(number, answer);
+        drop(state);
         self.send(&Message::AskPermit(PermitAsk { number, upstream, rate }), &[owner]);
     }
 
     /// The address of the owner of an upstream's bucket; `None` if this instance is the owner.
-    fn bucket_owner(&self, board: &Board, upstream: &str) -> Option<SocketAddr> {
+    fn bucket_owner(&self, state: &ControlState, upstream: &str) -> Option<SocketAddr> {
         let takes_part = |phase: Phase| phase != Phase::Starting;
-        let others = board
+        let others = state
             .membership
             .alive()
             .filter(|member| member.standing == Standing::Alive && takes_part(member.card.phase));
         let ids = others.map(|member| &member.card.registration.id);
-        let me = takes_part(board.phase).then_some(&self.me.id);
+        let me = takes_part(state.phase).then_some(&self.me.id);
         let owner = rate_limit::bucket_owner(upstream, ids.chain(me))?;
-        let owner = board.membership.get(owner)?;
+        let owner = state.membership.get(owner)?;
         Some(owner.card.registration.peer_addr)
     }
 
-    fn grant(&self, board: &mut Board, upstream: &Arc<str>, rate: Rate) -> Permit {
+    fn grant(&self, state: &mut ControlState, upstream: &Arc<str>, rate: Rate) -> Permit {
         let now_ms = self.clock.now_ms();
-        let alive = board.membership.alive().count() + 1;
-        let silent = board.membership.silent_since(now_ms.saturating_sub(SILENT_COUNTS_MS));
-        let permit = board.limiter.ask(upstream, rate, Liveness { alive, silent }, now_ms);
+        let alive = state.membership.alive().count() + 1;
+        let silent = state.membership.silent_since(now_ms.saturating_sub(SILENT_COUNTS_MS));
+        let permit = state.limiter.ask(upstream, rate, Liveness { alive, silent }, now_ms);
         self.metrics.count(match permit {
             Permit::Granted => "permits_granted",
             Permit::Wait { .. } => "permits_refused",
@@ -60,12 +60,12 @@
     }
 
     pub(super) fn hear_permit_ask(&self, ask: PermitAsk, from: SocketAddr) {
-        let permit = self.grant(&mut self.board.borrow_mut(), &ask.upstream, ask.rate);
+        let permit = self.grant(&mut self.state.borrow_mut(), &ask.upstream, ask.rate);
         self.send(&Message::Permit(ask.number, permit), &[from]);
     }
 
     pub(super) fn hear_permit(&self, number: u64, permit: Permit) {
-        if let Some(answer) = self.board.borrow_mut().permits.remove(&number) {
+        if let Some(answer) = self.state.borrow_mut().permits.remove(&number) {
             // The requester may have given up.
             let _ = answer.send(permit);
         }
--- a/src/gateway/control/quarantine.rs
+++ b/src/gateway/control/quarantine.rs
@@ -10,7 +10,7 @@
 use super::super::membership::{Message, Rumor};
 use super::super::policy::quarantine::{Judgement, QUARANTINE_MS};
 use super::super::view::Report;
-use super::{Board, Control};
+use super::{Control, ControlState};
 
 /// How many attempts are made to store a quarantine record, and the pause between them: outages of the
 /// directory last for seconds, and peers have the record meanwhile.
@@ -22,7 +22,7 @@
     /// ended.
     pub(super) async fn keep_quarantine(self: Rc<Control>) {
         loop {
-            let settles_ms = self.board.borrow().quarantine.settles_ms();
+            let settles_ms = self.state.borrow().quarantine.settles_ms();
             let left_ms = settles_ms.map(|at_ms| at_ms.saturating_sub(self.clock.now_ms()));
             tokio::select! {
                 () = self.shared.reported.notified() => {}
@@ -39,43 +39,43 @@
 
     /// Gossips which upstreams ended under runs that had just begun.
     fn tell_ends(&self) {
-        let mut board = self.board.borrow_mut();
-        for end in board.quarantine.take_ends() {
-            board.membership.tell(Rumor::Ended(end));
+        let mut state = self.state.borrow_mut();
+        for end in state.quarantine.take_ends() {
+            state.membership.tell(Rumor::Ended(end));
         }
-        drop(board);
+        drop(state);
         self.rumors.notify_one();
     }
 
     /// Records such an end reported by a peer, and gossips it further if it was not known.
     pub(super) fn hear_end(&self, end: EndedUnder, now_ms: u64) {
-        let mut board = self.board.borrow_mut();
-        let Some(upstream) = board.fleet.upstreams.get(&end.upstream).cloned() else { return };
-        if board.quarantine.hear_end(&upstream, end.fingerprint, now_ms) {
-            board.membership.tell(Rumor::Ended(end));
-            drop(board);
+        let mut state = self.state.borrow_mut();
+        let Some(upstream) = state.fleet.upstreams.get(&end.upstream).cloned() else { return };
+        if state.quarantine.hear_end(&upstream, end.fingerprint, now_ms) {
+            state.membership.tell(Rumor::Ended(end));
+            drop(state);
             self.rumors.notify_one();
         }
     }
 
     fn take_report(self: &Rc<Control>, report: Report) {
         let now_ms = self.clock.now_ms();
-        let mut board = self.board.borrow_mut();
+        let mut state = self.state.borrow_mut();
         match report {
-            Report::Crash(crash) => board.quarantine.note_crash(crash),
+            Report::Crash(crash) => state.quarantine.note_crash(crash),
             Report::Served(fingerprint, event) => {
-                let was_quarantined = board.quarantine.is_quarantined(fingerprint);
-                board.quarantine.clear_served(fingerprint, event, now_ms);
-                if was_quarantined && !board.quarantine.is_quarantined(fingerprint) {
-                    drop(board);
+                let was_quarantined = state.quarantine.is_quarantined(fingerprint);
+                state.quarantine.clear_served(fingerprint, event, now_ms);
+                if was_quarantined && !state.quarantine.is_quarantined(fingerprint) {
+                    drop(state);
                     slog::warn!(self.log, "quarantine lifted: the request was served";
                         "fingerprint" => %fingerprint);
                     self.remember(fingerprint);
                 }
             }
             Report::Lift(fingerprint) => {
-                let was_known = board.quarantine.lift(fingerprint, now_ms);
-                drop(board);
+                let was_known = state.quarantine.lift(fingerprint, now_ms);
+                drop(state);
                 self.remember(fingerprint);
                 slog::warn!(self.log, "quarantine lifted"; "fingerprint" => %fingerprint,
                     "was_known" => was_known);
@@ -85,10 +85,10 @@
 
     fn settle(self: &Rc<Control>) {
         let now_ms = self.clock.now_ms();
-        let mut board = self.board.borrow_mut();
-        let Board { quarantine, fleet, .. } = &mut *board;
+        let mut state = self.state.borrow_mut();
+        let ControlState { quarantine, fleet, .. } = &mut *state;
         let settled = quarantine.settle(&fleet.upstreams, now_ms);
-        drop(board);
+        drop(state);
         for (crash, judgement) in settled {
             self.log_crash(&crash, judgement);
             if judgement == Judgement::Quarantined {
@@ -118,7 +118,7 @@
         tokio::task::spawn_local(async move {
             for _ in 0..REMEMBER_TRIES {
                 let now_ms = control.clock.now_ms();
-                let record = control.board.borrow().quarantine.record(fingerprint, now_ms);
+                let record = control.state.borrow().quarantine.record(fingerprint, now_ms);
                 let Some(record) = record else { return };
                 match control.directory.remember(&record, QUARANTINE_MS).await {
                     Ok(()) => return,
@@ -145,7 +145,7 @@
     /// Merges the record of a request. Returns whether this quarantines the request here.
     pub(super) fn take_crashes(&self, told: CrashRecord, from: &'static str) -> bool {
         let fingerprint = told.fingerprint;
-        let is_new = self.board.borrow_mut().quarantine.hear(told, self.clock.now_ms());
+        let is_new = self.state.borrow_mut().quarantine.hear(told, self.clock.now_ms());
         if is_new {
             self.log_quarantined(fingerprint, from);
         }
@@ -156,22 +156,22 @@
     /// Publishes and gossips changed records.
     fn tell_quarantine_news(&self) {
         let now_ms = self.clock.now_ms();
-        let mut board = self.board.borrow_mut();
-        let news = board.quarantine.take_news(now_ms);
+        let mut state = self.state.borrow_mut();
+        let news = state.quarantine.take_news(now_ms);
         if news.is_empty() {
             return;
         }
         for told in news {
-            board.membership.tell(Rumor::Crashes(told));
+            state.membership.tell(Rumor::Crashes(told));
         }
-        drop(board);
+        drop(state);
         self.publish();
     }
 
     /// Sends the next batch of all records to some peers.
     pub(super) fn tell_quarantine(&self, addrs: &[SocketAddr]) {
         let now_ms = self.clock.now_ms();
-        let part = self.board.borrow_mut().quarantine.next_part(now_ms);
+        let part = self.state.borrow_mut().quarantine.next_part(now_ms);
         if !part.is_empty() {
             let rumors = part.into_iter().map(Rumor::Crashes).collect();
             self.send(&Message::Rumors(rumors), addrs);
@@ -181,13 +181,13 @@
     /// Sends the next batch of all records to one live peer, whatever it knows: gossip ends after a few rounds,
     /// and an instance that was cut off or suspended meanwhile has missed it.
     pub(super) fn tell_quarantine_to_one(&self) {
-        let board = self.board.borrow();
-        if board.quarantine.is_empty() {
+        let state = self.state.borrow();
+        if state.quarantine.is_empty() {
             return;
         }
         let alive: Vec<SocketAddr> =
-            board.membership.alive().map(|member| member.card.registration.peer_addr).collect();
-        drop(board);
+            state.membership.alive().map(|member| member.card.registration.peer_addr).collect();
+        drop(state);
         if let Some(addr) = fastrand::choice(alive) {
             self.tell_quarantine(&[addr]);
         }
--- a/src/gateway/control/shares.rs
+++ b/src/gateway/control/shares.rs
@@ -11,7 +11,7 @@
 use super::super::membership::Message;
 use super::super::policy::subset::{self, Holder, Share};
 use super::super::policy::watchers;
-use super::{Board, Control};
+use super::{Control, ControlState};
 
 /// How long an upstream that was looked up by its id is published: long enough to send a request to it.
 const GUEST_MS: u64 = 1_000;
@@ -28,74 +28,74 @@
 impl Control {
     /// Adopts the set of large services from an instance that holds all upstreams: narrows services that became
     /// large to this instance's share, and requests a fetch for those that no longer are.
-    pub(super) fn follow_large(&self, board: &mut Board, told: &Part) {
-        if board.part.large == told.large {
+    pub(super) fn follow_large(&self, state: &mut ControlState, told: &Part) {
+        if state.part.large == told.large {
             return;
         }
-        let is_less = board.part.large.iter().any(|service| !told.large.contains(service));
-        board.part.large = told.large.clone();
-        board.suitable = None;
-        if board.part.share.is_all() {
+        let is_less = state.part.large.iter().any(|service| !told.large.contains(service));
+        state.part.large = told.large.clone();
+        state.suitable = None;
+        if state.part.share.is_all() {
             return;
         }
         if is_less {
             let is_small = told.large.is_empty();
-            board.wanted_share = Some(if is_small { Share::ALL } else { board.part.share });
+            state.wanted_share = Some(if is_small { Share::ALL } else { state.part.share });
         }
-        let Board { fleet, part, .. } = board;
+        let ControlState { fleet, part, .. } = state;
         fleet.narrow(holds(&self.me.id, part));
     }
 
     /// The share of the large services that suits the size of the fleet, estimated from the upstreams held here.
-    pub(super) fn suitable_share(board: &Board) -> Share {
-        let services = board.fleet.upstreams.values().map(|upstream| &upstream.service);
-        let large = services.filter(|service| board.part.large.contains(*service));
-        subset::share(large, board.part.share, board.membership.alive().count() + 1)
+    pub(super) fn suitable_share(state: &ControlState) -> Share {
+        let services = state.fleet.upstreams.values().map(|upstream| &upstream.service);
+        let large = services.filter(|service| state.part.large.contains(*service));
+        subset::share(large, state.part.share, state.membership.alive().count() + 1)
     }
 
     /// Recomputes which services are large, if this instance holds all upstreams.
-    pub(super) fn note_large(board: &mut Board) {
-        if board.part.share.is_all() {
-            let services = board.fleet.upstreams.values().map(|upstream| &upstream.service);
-            board.part.large = subset::large(services, &board.part.large);
+    pub(super) fn note_large(state: &mut ControlState) {
+        if state.part.share.is_all() {
+            let services = state.fleet.upstreams.values().map(|upstream| &upstream.service);
+            state.part.large = subset::large(services, &state.part.large);
         }
     }
 
     /// Adjusts the share of the large services to this instance's rank and the number of instances. A wider
     /// share is kept for a while after the instance ran out of upstreams.
     pub(super) fn settle_share(&self, now_ms: u64) {
-        let mut board = self.board.borrow_mut();
-        if !board.has_fleet || board.part.large.is_empty() || board.wanted_share.is_some() {
+        let mut state = self.state.borrow_mut();
+        if !state.has_fleet || state.part.large.is_empty() || state.wanted_share.is_some() {
             return;
         }
-        let before_me = board.membership.before_me();
-        let instances = board.membership.alive().count() + 1;
-        let share = board.part.share;
+        let before_me = state.membership.before_me();
+        let instances = state.membership.alive().count() + 1;
+        let share = state.part.share;
         if watchers::keeps_all(before_me) {
-            board.narrows_since_ms = None;
+            state.narrows_since_ms = None;
             if !share.is_all() && now_ms >= MEMBERS_KNOWN_MS {
-                board.wanted_share = Some(Share::ALL);
+                state.wanted_share = Some(Share::ALL);
             }
             return;
         }
         if now_ms >= MEMBERS_KNOWN_MS && subset::is_too_narrow(share, instances) {
-            board.wanted_share = Some(share.wider());
+            state.wanted_share = Some(share.wider());
             return;
         }
-        let since_ms = *board.narrows_since_ms.get_or_insert(now_ms);
+        let since_ms = *state.narrows_since_ms.get_or_insert(now_ms);
         let is_settled = watchers::is_far_behind(before_me) || now_ms >= since_ms + NARROW_AFTER_MS;
-        let suitable = Control::suitable_share(&board);
+        let suitable = Control::suitable_share(&state);
         let is_wide = suitable > share && (share.is_all() || suitable > share.narrower());
-        if is_wide && is_settled && !board.is_watching && now_ms >= board.wide_until_ms {
-            self.narrow(&mut board, suitable);
-            drop(board);
+        if is_wide && is_settled && !state.is_watching && now_ms >= state.wide_until_ms {
+            self.narrow(&mut state, suitable);
+            drop(state);
             self.dirty.notify_one();
         }
     }
 
     /// Drops the upstreams of large services that are outside a share.
-    fn narrow(&self, board: &mut Board, share: Share) {
-        let Board { fleet, part, .. } = board;
+    fn narrow(&self, state: &mut ControlState, share: Share) {
+        let ControlState { fleet, part, .. } = state;
         part.share = share;
         fleet.narrow(holds(&self.me.id, part));
         slog::info!(self.log, "share narrowed; upstreams of large services dropped";
@@ -104,14 +104,14 @@
 
     /// Looks up an upstream that this instance doesn't hold, on which a request is to continue.
     pub(super) fn ask_upstream(&self, id: Arc<str>) {
-        let holders: Vec<SocketAddr> = Control::list_holders(&self.board.borrow()).collect();
+        let holders: Vec<SocketAddr> = Control::list_holders(&self.state.borrow()).collect();
         if let Some(addr) = fastrand::choice(holders) {
             self.send(&Message::AskUpstream(id), &[addr]);
         }
     }
 
     pub(super) fn hear_upstream_ask(&self, id: &str, from: SocketAddr) {
-        let upstream = self.board.borrow().fleet.upstreams.get(id).cloned();
+        let upstream = self.state.borrow().fleet.upstreams.get(id).cloned();
         if let Some(upstream) = upstream {
             self.send(&Message::Upstream(upstream), &[from]);
         }
@@ -121,24 +121,24 @@
     /// upstream, so it is dropped before a change of it must be in force.
     pub(super) fn take_guest(&self, upstream: Upstream) {
         let until_ms = self.clock.now_ms() + GUEST_MS;
-        let mut board = self.board.borrow_mut();
-        board.guests.insert(Arc::clone(&upstream.id), Guest { upstream, until_ms });
-        board.guest_changes += 1;
-        drop(board);
+        let mut state = self.state.borrow_mut();
+        state.guests.insert(Arc::clone(&upstream.id), Guest { upstream, until_ms });
+        state.guest_changes += 1;
+        drop(state);
         self.publish();
     }
 
     /// Requests a wider share of the large services, since none of the held upstreams is usable.
     pub(super) fn widen_share(self: &Rc<Control>) {
         let now_ms = self.clock.now_ms();
-        let mut board = self.board.borrow_mut();
-        board.wide_until_ms = now_ms + WIDE_MS;
-        if board.part.share.is_all() || board.wanted_share.is_some() {
+        let mut state = self.state.borrow_mut();
+        state.wide_until_ms = now_ms + WIDE_MS;
+        if state.part.share.is_all() || state.wanted_share.is_some() {
             return;
         }
-        let wider = board.part.share.wider();
-        board.wanted_share = Some(wider);
-        drop(board);
+        let wider = state.part.share.wider();
+        state.wanted_share = Some(wider);
+        drop(state);
         slog::info!(self.log, "no usable upstream left; fetching a wider share"; "halvings" => wider.halvings());
         self.metrics.count("shares_widened");
         self.fetch_if_behind(now_ms);
--- a/src/gateway/control/signals.rs
+++ b/src/gateway/control/signals.rs
@@ -6,7 +6,7 @@
 use super::super::membership::{Message, SignalNews};
 use super::super::rate::NamedRate;
 use super::super::view::Signal;
-use super::{Board, Control};
+use super::{Control, ControlState};
 
 impl Control {
     /// Handles signals from this instance's request handling.
@@ -33,11 +33,11 @@
 
     /// Records what an upstream announced to this instance, and sends it to all other instances if it is new.
     fn take_news(&self, news: SignalNews) {
-        let mut board = self.board.borrow_mut();
-        let Some(news) = self.note_news(&mut board, news) else { return };
-        let near = self.near_peers(&board);
-        let far = self.one_of_each_other_domain(&board);
-        drop(board);
+        let mut state = self.state.borrow_mut();
+        let Some(news) = self.note_news(&mut state, news) else { return };
+        let near = self.near_peers(&state);
+        let far = self.one_of_each_other_domain(&state);
+        drop(state);
         self.send(&Message::Signals(news.clone()), &near);
         self.send(&Message::Signals(SignalNews { is_passed_on: true, ..news }), &far);
     }
@@ -45,20 +45,20 @@
     /// Records what an upstream announced to a peer, and forwards it within this failure domain if it is new and
     /// came from another domain.
     pub(super) fn hear_signals(&self, news: SignalNews) {
-        let mut board = self.board.borrow_mut();
-        let Some(mut news) = self.note_news(&mut board, news) else { return };
-        let near = self.near_peers(&board);
-        drop(board);
+        let mut state = self.state.borrow_mut();
+        let Some(mut news) = self.note_news(&mut state, news) else { return };
+        let near = self.near_peers(&state);
+        drop(state);
         if std::mem::take(&mut news.is_passed_on) {
             self.send(&Message::Signals(news), &near);
         }
     }
 
     /// Records what is new, and returns it.
-    fn note_news(&self, board: &mut Board, mut news: SignalNews) -> Option<SignalNews> {
+    fn note_news(&self, state: &mut ControlState, mut news: SignalNews) -> Option<SignalNews> {
         let now_ms = self.clock.now_ms();
-        news.rates.retain(|told| board.named_rates.note(told, now_ms));
-        news.departures.retain(|departure| board.departures.note(departure, now_ms));
+        news.rates.retain(|told| state.named_rates.note(told, now_ms));
+        news.departures.retain(|departure| state.departures.note(departure, now_ms));
         if news.is_empty() {
             return None;
         }
@@ -68,18 +68,18 @@
 
     /// Sends everything known to one live peer: messages may have been lost, or the peer may have just started.
     pub(super) fn tell_signals_to_one(&self) {
-        let board = self.board.borrow();
+        let state = self.state.borrow();
         let news = SignalNews {
-            rates: board.named_rates.all(self.clock.now_ms()),
-            departures: board.departures.all(),
+            rates: state.named_rates.all(self.clock.now_ms()),
+            departures: state.departures.all(),
             is_passed_on: false,
         };
         if news.is_empty() {
             return;
         }
         let alive: Vec<SocketAddr> =
-            board.membership.alive().map(|member| member.card.registration.peer_addr).collect();
-        drop(board);
+            state.membership.alive().map(|member| member.card.registration.peer_addr).collect();
+        drop(state);
         if let Some(addr) = fastrand::choice(alive) {
             self.send(&Message::Signals(news), &[addr]);
         }
--- a/src/gateway/control/successors.rs
+++ b/src/gateway/control/successors.rs
@@ -41,21 +41,21 @@
 
     /// Whether no instance has a working directory watch, and this instance is one of the few that search.
     fn is_seeker(&self) -> bool {
-        let board = self.board.borrow();
+        let state = self.state.borrow();
         if !Mechanism::Search.is_on()
-            || board.phase != Phase::Ready
-            || Control::is_directory_heard(&board)
+            || state.phase != Phase::Ready
+            || Control::is_directory_heard(&state)
         {
             return false;
         }
-        let alive = board.membership.alive().map(|member| &member.card.registration.id);
+        let alive = state.membership.alive().map(|member| &member.card.registration.id);
         let before = alive.filter(|id| **id < self.me.id);
         before.count() < SEEKERS
     }
 
     fn note_sought(&self, sought: &mut Sought) {
         let mut lost = self.shared.own_lost();
-        lost.extend(self.board.borrow().lost.keys().cloned());
+        lost.extend(self.state.borrow().lost.keys().cloned());
         let view = self.shared.view.load();
         sought.note(lost, |id| view.fleet.upstreams.contains_key(id));
     }
@@ -97,9 +97,9 @@
             let request = Request::get(path).header(HOST, lost.addr.to_string());
             request.body(Full::<Bytes>::default()).ok()
         };
-        let state = channel.send(ask(self.dialect.state_path())?).await.ok()?;
-        let state = state.into_body().collect().await.ok()?.to_bytes();
-        let models = self.dialect.engine_state(&state)?.models;
+        let response = channel.send(ask(self.dialect.state_path())?).await.ok()?;
+        let response = response.into_body().collect().await.ok()?.to_bytes();
+        let models = self.dialect.engine_state(&response)?.models;
         if models.is_empty() || models.iter().any(|model| !engine.models.contains(model)) {
             return None;
         }
@@ -111,12 +111,12 @@
     /// Adds an engine that this instance or a peer rediscovered while the directory is unreachable, and gossips
     /// it if it is new here.
     pub(super) fn take_found(&self, upstream: Upstream) {
-        let mut board = self.board.borrow_mut();
-        let is_heard = Control::is_directory_heard(&board);
-        if is_heard || !board.has_fleet || !board.found.add(upstream.clone()) {
+        let mut state = self.state.borrow_mut();
+        let is_heard = Control::is_directory_heard(&state);
+        if is_heard || !state.has_fleet || !state.found.add(upstream.clone()) {
             return;
         }
-        board.membership.tell(Rumor::Found(upstream));
+        state.membership.tell(Rumor::Found(upstream));
         self.dirty.notify_one();
         self.rumors.notify_one();
     }
