--- a/src/gateway/control.rs
+++ b/src/gateway/control.rs
@@ -30,7 +30,7 @@
 use tokio::net::UdpSocket;
 use tokio::sync::{Notify, oneshot};
 
-use self::shares::Guest;
+use self::shares::TemporaryUpstream;
 use super::dialect::Dialect;
 use super::directory::Directory;
 use super::fleet::Fleet;
@@ -66,14 +66,14 @@
     fleet: Fleet,
     /// Restarted engines that were found at their addresses while the directory was unreachable, and that it
     /// does not list yet.
-    found: Found,
+    rediscovered: Found,
     has_fleet: bool,
     membership: Membership,
     loads: Loads,
     /// Requests that crash upstreams.
     quarantine: Quarantine,
     /// The version of `quarantine` in the published snapshot.
-    quarantine_version: u64,
+    published_quarantine_version: u64,
     /// The token buckets of which this instance is the owner for the whole fleet.
     limiter: Limiter,
     /// The rate limits that upstreams announced to any instance.
@@ -81,11 +81,11 @@
     /// Upstreams that announced to any instance that they are shutting down.
     departures: Departures,
     /// Permit requests to other instances that are not answered yet, by number.
-    permits: BTreeMap<u64, oneshot::Sender<Permit>>,
+    pending_permits: BTreeMap<u64, oneshot::Sender<Permit>>,
     /// The number of the last permit request.
-    permit_number: u64,
+    last_permit_number: u64,
     /// How many other instances have a working directory watch.
-    first_hand: usize,
+    watching_peers: usize,
     /// Upstreams that any instance recently lost, with the time until which each loss is remembered.
     lost: BTreeMap<Arc<str>, u64>,
     /// The instances that accept callers.
@@ -94,67 +94,67 @@
     fronts_phase: Phase,
     /// The other instances of this failure domain that route requests, including those that are starting or
     /// stopping.
-    placing_near: Vec<SocketAddr>,
+    placing_peers: Vec<SocketAddr>,
     /// Whether this instance routes requests.
     is_placing: bool,
     phase: Phase,
     is_directory_lost: bool,
     /// When the directory last answered.
-    answered_ms: u64,
+    directory_answered_ms: u64,
     /// The directory's lease on this instance's registration.
-    lease: Option<u64>,
+    registration_lease: Option<u64>,
     /// Whether this instance is one of those that watch the directory, also while it does not answer.
     is_watching: bool,
     /// Whether peers received changes while the directory did not answer this instance: then only this
     /// instance was cut off.
-    is_outage_own: bool,
+    is_outage_local: bool,
     /// The sequence number of the last load update.
-    messages: u64,
+    load_sequence: u64,
     /// The load that was last reported to peers.
-    told: Told,
+    reported_load: Told,
     /// Whether the last full load update reported no load at all.
-    has_told_nothing: bool,
+    has_reported_no_load: bool,
     /// The versions that were last announced to peers.
-    told_versions: Versions,
+    announced_versions: Versions,
     /// The upstream list revisions of the last pushes.
-    pushed: VecDeque<u64>,
+    pushed_revisions: VecDeque<u64>,
     /// Whether the newest versions came from the directory, so that other failure domains may lack them.
-    is_first_to_tell: bool,
+    is_update_from_directory: bool,
     /// Since when a peer is known to have newer versions.
     behind_since_ms: Option<u64>,
     is_fetching_config: bool,
     is_fetching_list: bool,
     /// The earliest time of the next list fetch, after a failed one.
-    list_retry_ms: u64,
+    next_list_fetch_ms: u64,
     /// Instances that hold the full upstream list, as reported by peers.
-    list_holders_told: VecDeque<SocketAddr>,
+    reported_list_holders: VecDeque<SocketAddr>,
     /// Which part of the upstream list `fleet` holds.
-    part: Part,
+    held_part: Part,
     /// Whether a peer had more changes of that part than fit into a message.
-    is_behind: bool,
+    has_missed_changes: bool,
     /// The share of the large services to fetch, if it differs from the share held.
     wanted_share: Option<Share>,
     /// Until when this instance does not narrow its share, after it ran out of upstreams.
-    wide_until_ms: u64,
+    widened_until_ms: u64,
     /// Since when this instance's rank does not require it to hold all upstreams.
-    narrows_since_ms: Option<u64>,
+    can_narrow_since_ms: Option<u64>,
     /// Since when too few instances have a working directory watch.
-    few_watch_since_ms: Option<u64>,
+    too_few_watchers_since_ms: Option<u64>,
     /// Upstreams outside this instance's share that were looked up for a request, published for a short time.
-    guests: BTreeMap<Arc<str>, Guest>,
-    /// Counts the changes of `guests`.
-    guest_changes: u64,
+    temporary_upstreams: BTreeMap<Arc<str>, TemporaryUpstream>,
+    /// Counts the changes of `temporary_upstreams`.
+    temporary_upstream_changes: u64,
     /// The inputs of the published upstream list.
     published: Option<Published>,
     /// The suitable share of the large services, cached with its inputs: the change count of `fleet` and the
     /// number of live peers.
-    suitable: Option<((u64, usize), Share)>,
+    cached_suitable_share: Option<((u64, usize), Share)>,
     /// The lease on the duties that only one instance may run at a time.
     duty_lease: DutyLease,
     /// The holder of that lease, as last read from the directory.
     duty_holder: Option<Holder>,
     /// The requests that this instance counts for the usage report.
-    counter: Counter,
+    usage_counter: Counter,
     /// The counts of all instances, in case this one has to report them.
     usage: Usage,
     /// The last usage window that this instance reported.
@@ -165,8 +165,8 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Published {
     fleet: u64,
-    found: u64,
-    guests: (u64, usize),
+    rediscovered: u64,
+    temporary_upstreams: (u64, usize),
     share: Share,
 }
 
@@ -182,16 +182,16 @@
     log: slog::Logger,
     state: RefCell<ControlState>,
     /// Restarts a directory watch that lags behind peers.
-    broken_watch: Notify,
+    watch_restart: Notify,
     /// Makes the directory watch check at once whether the directory still answers, since it stopped
     /// answering another instance.
-    doubted_directory: Notify,
+    directory_check: Notify,
     /// Requests that a new snapshot be published.
     dirty: Notify,
     /// Signals that rumors wait to be sent.
     rumors: Notify,
     /// Signals that this instance has a newer configuration or upstream list to announce.
-    newer: Notify,
+    newer_versions: Notify,
     socket: RefCell<Option<Rc<UdpSocket>>>,
 }
 
@@ -219,59 +219,59 @@
         let state = ControlState {
             config: None,
             fleet: Fleet::default(),
-            found: Found::default(),
+            rediscovered: Found::default(),
             has_fleet: false,
             membership: Membership::new(me.clone(), settings.link_mbps, &contacts, start_version()),
             loads: Loads::new(Arc::clone(&settings.domain), window_ms),
             quarantine: Quarantine::default(),
-            quarantine_version: 0,
+            published_quarantine_version: 0,
             limiter: Limiter::default(),
             named_rates: NamedRates::default(),
             departures: Departures::default(),
-            permits: BTreeMap::new(),
-            permit_number: 0,
-            first_hand: 0,
+            pending_permits: BTreeMap::new(),
+            last_permit_number: 0,
+            watching_peers: 0,
             lost: BTreeMap::new(),
             fronts: Arc::default(),
             fronts_phase: Phase::Starting,
-            placing_near: Vec::new(),
+            placing_peers: Vec::new(),
             is_placing: true,
             phase: Phase::Starting,
             is_directory_lost: false,
-            answered_ms: 0,
-            lease: None,
+            directory_answered_ms: 0,
+            registration_lease: None,
             is_watching: false,
-            is_outage_own: false,
-            messages: 0,
-            told: Told::default(),
-            has_told_nothing: false,
-            told_versions: Versions::default(),
-            pushed: VecDeque::new(),
-            is_first_to_tell: false,
+            is_outage_local: false,
+            load_sequence: 0,
+            reported_load: Told::default(),
+            has_reported_no_load: false,
+            announced_versions: Versions::default(),
+            pushed_revisions: VecDeque::new(),
+            is_update_from_directory: false,
             behind_since_ms: None,
             is_fetching_config: false,
             is_fetching_list: false,
-            list_retry_ms: 0,
-            list_holders_told: VecDeque::new(),
-            part: shares::everything(),
-            is_behind: false,
+            next_list_fetch_ms: 0,
+            reported_list_holders: VecDeque::new(),
+            held_part: shares::everything(),
+            has_missed_changes: false,
             wanted_share: None,
-            wide_until_ms: 0,
-            narrows_since_ms: None,
-            few_watch_since_ms: None,
-            guests: BTreeMap::new(),
-            guest_changes: 0,
+            widened_until_ms: 0,
+            can_narrow_since_ms: None,
+            too_few_watchers_since_ms: None,
+            temporary_upstreams: BTreeMap::new(),
+            temporary_upstream_changes: 0,
             published: None,
-            suitable: None,
+            cached_suitable_share: None,
             duty_lease: DutyLease::new(lease_ms),
             duty_holder: None,
-            counter: Counter::default(),
+            usage_counter: Counter::default(),
             usage: Usage::default(),
             reported_window: None,
         };
         let state = RefCell::new(state);
-        let broken_watch = Notify::new();
-        let doubted_directory = Notify::new();
+        let watch_restart = Notify::new();
+        let directory_check = Notify::new();
         let dirty = Notify::new();
         Rc::new(Control {
             settings,
@@ -283,11 +283,11 @@
             clock,
             log,
             state,
-            broken_watch,
-            doubted_directory,
+            watch_restart,
+            directory_check,
             dirty,
             rumors: Notify::new(),
-            newer: Notify::new(),
+            newer_versions: Notify::new(),
             socket: RefCell::new(None),
         })
     }
@@ -327,7 +327,7 @@
 
     /// Removes this instance's registration from the directory.
     pub async fn release(&self) {
-        let lease = self.state.borrow_mut().lease.take();
+        let lease = self.state.borrow_mut().registration_lease.take();
         if let Some(lease) = lease
             && let Err(fault) = self.directory.release(lease).await
         {
@@ -358,22 +358,22 @@
         }
         let phase = state.phase;
         let versions = Control::versions(&state);
-        let is_first_hand = Control::is_first_hand(&state);
-        let share = state.part.share;
-        state.membership.set_me(phase, is_first_hand, share, versions);
+        let has_working_watch = Control::has_working_watch(&state);
+        let share = state.held_part.share;
+        state.membership.set_me(phase, has_working_watch, share, versions);
         self.note_members(&mut state);
         state.lost.retain(|_, until_ms| *until_ms > now_ms);
         let before = self.shared.view.load();
         let share = Control::traffic_share(&mut state);
         let fleet = self.traffic_list(&mut state, share, &before.fleet);
         let version = state.quarantine.version();
-        let is_quarantine_new = version != state.quarantine_version;
+        let is_quarantine_new = version != state.published_quarantine_version;
         let quarantine = if is_quarantine_new {
             Arc::new(state.quarantine.suspects())
         } else {
             Arc::clone(&before.quarantine)
         };
-        state.quarantine_version = version;
+        state.published_quarantine_version = version;
         let view = View {
             config: state.config.clone(),
             fleet,
@@ -382,7 +382,7 @@
             fronts: Arc::clone(&state.fronts),
             instances: state.membership.alive().count() as u32 + 1,
             share,
-            large: state.part.large.clone(),
+            large: state.held_part.large.clone(),
             others: state.loads.held(),
             sent: Arc::new(state.loads.sent(now_ms)),
             lost: Arc::new(state.lost.keys().cloned().collect()),
@@ -393,7 +393,7 @@
         };
         drop(before);
         let has_rumors = state.membership.has_rumors();
-        let has_newer = versions != state.told_versions;
+        let has_newer = versions != state.announced_versions;
         drop(state);
         self.shared.view.store(Arc::new(view));
         if is_quarantine_new {
@@ -406,7 +406,7 @@
             self.rumors.notify_one();
         }
         if has_newer {
-            self.newer.notify_one();
+            self.newer_versions.notify_one();
         }
     }
 
@@ -414,15 +414,15 @@
     /// upstreams on behalf of others. It is computed from all upstreams, so it is cached until they or the
     /// members change.
     fn traffic_share(state: &mut ControlState) -> Share {
-        if !state.part.share.is_all() || state.part.large.is_empty() {
-            return state.part.share;
+        if !state.held_part.share.is_all() || state.held_part.large.is_empty() {
+            return state.held_part.share;
         }
         let made_from = (state.fleet.changes(), state.membership.alive().count());
-        match state.suitable {
+        match state.cached_suitable_share {
             Some((from, share)) if from == made_from => share,
             _ => {
                 let share = Control::suitable_share(state);
-                state.suitable = Some((made_from, share));
+                state.cached_suitable_share = Some((made_from, share));
                 share
             }
         }
@@ -437,19 +437,22 @@
     ) -> Arc<Fleet> {
         let published = Published {
             fleet: state.fleet.changes(),
-            found: state.found.changes(),
-            guests: (state.guest_changes, state.guests.len()),
+            rediscovered: state.rediscovered.changes(),
+            temporary_upstreams: (
+                state.temporary_upstream_changes,
+                state.temporary_upstreams.len(),
+            ),
             share,
         };
         if state.published.replace(published) == Some(published) {
             return Arc::clone(before);
         }
-        let mut upstreams = state.found.merge(&state.fleet.upstreams).into_owned();
+        let mut upstreams = state.rediscovered.merge(&state.fleet.upstreams).into_owned();
         if !share.is_all() {
-            let holds = shares::holds(&self.me.id, &Part { share, ..state.part.clone() });
+            let holds = shares::holds(&self.me.id, &Part { share, ..state.held_part.clone() });
             upstreams.retain(|id, upstream| holds(id, &upstream.service));
         }
-        for Guest { upstream, .. } in state.guests.values() {
+        for TemporaryUpstream { upstream, .. } in state.temporary_upstreams.values() {
             upstreams.entry(Arc::clone(&upstream.id)).or_insert_with(|| upstream.clone());
         }
         if before.upstreams == upstreams {
@@ -501,21 +504,21 @@
         let placing = active::active(near.map(|card| (card.rank(), &card.registration)));
         let is_placing = placing.iter().any(|registration| registration.id == self.me.id);
         let others = placing.into_iter().filter(|registration| registration.id != self.me.id);
-        let placing_near = others.map(|registration| registration.peer_addr).collect();
+        let placing_peers = others.map(|registration| registration.peer_addr).collect();
         state.fronts = Arc::new(fronts);
         state.is_placing = is_placing;
-        state.placing_near = placing_near;
+        state.placing_peers = placing_peers;
     }
 
     /// Checks this instance's own directory watch if another instance has lost the directory: a watch waits
     /// for seconds, and as long as one instance believes that its watch works, nobody searches for engines
     /// that the directory does not list.
     fn doubt_directory(&self, state: &mut ControlState) {
-        let first_hand =
+        let watching_peers =
             state.membership.alive().filter(|member| member.card.is_first_hand).count();
-        let before = std::mem::replace(&mut state.first_hand, first_hand);
-        if watchers::doubts(before, first_hand) && Control::is_first_hand(state) {
-            self.doubted_directory.notify_one();
+        let before = std::mem::replace(&mut state.watching_peers, watching_peers);
+        if watchers::doubts(before, watching_peers) && Control::has_working_watch(state) {
+            self.directory_check.notify_one();
         }
     }
 
@@ -535,23 +538,23 @@
         self.metrics.gauge("config_version", versions.config);
         self.metrics.gauge("list_revision", versions.fleet);
         self.metrics.gauge("upstreams", state.fleet.upstreams.len() as u64);
-        self.metrics.gauge("large_services", state.part.large.len() as u64);
-        self.metrics.gauge("share_halvings", u64::from(state.part.share.halvings()));
+        self.metrics.gauge("large_services", state.held_part.large.len() as u64);
+        self.metrics.gauge("share_halvings", u64::from(state.held_part.share.halvings()));
         self.metrics.gauge("peers", state.membership.alive().count() as u64);
-        let is_first_hand = Control::is_first_hand(&state);
-        self.metrics.gauge("is_watching_directory", u64::from(is_first_hand));
-        let age_ms = now_ms.saturating_sub(state.answered_ms);
+        let has_working_watch = Control::has_working_watch(&state);
+        self.metrics.gauge("is_watching_directory", u64::from(has_working_watch));
+        let age_ms = now_ms.saturating_sub(state.directory_answered_ms);
         self.metrics.gauge("directory_answer_age_ms", age_ms);
     }
 
     /// Whether this instance or a live peer has a working directory watch.
-    fn is_directory_heard(state: &ControlState) -> bool {
+    fn is_directory_reachable(state: &ControlState) -> bool {
         let mut alive = state.membership.alive();
-        Control::is_first_hand(state) || alive.any(|member| member.card.is_first_hand)
+        Control::has_working_watch(state) || alive.any(|member| member.card.is_first_hand)
     }
 
     /// Whether this instance watches the directory and the directory answers it.
-    fn is_first_hand(state: &ControlState) -> bool {
+    fn has_working_watch(state: &ControlState) -> bool {
         state.is_watching && !state.is_directory_lost
     }
 
--- a/src/gateway/control/changes.rs
+++ b/src/gateway/control/changes.rs
@@ -36,17 +36,17 @@
     /// upstream list.
     pub(super) async fn tell_newer(self: Rc<Control>) {
         loop {
-            self.newer.notified().await;
+            self.newer_versions.notified().await;
             tokio::time::sleep(Duration::from_millis(NEWS_MS)).await;
             let mut state = self.state.borrow_mut();
             let versions = Control::versions(&state);
-            let told = std::mem::replace(&mut state.told_versions, versions);
+            let told = std::mem::replace(&mut state.announced_versions, versions);
             let is_config_new = told.config != versions.config;
-            let is_list_new = told.fleet != versions.fleet && state.part.share.is_all();
+            let is_list_new = told.fleet != versions.fleet && state.held_part.share.is_all();
             if !is_config_new && !is_list_new {
                 continue;
             }
-            let since = state.pushed.front().copied().unwrap_or(0);
+            let since = state.pushed_revisions.front().copied().unwrap_or(0);
             let changes = self.changes(&mut state);
             // Peers that hold only a part of the list receive the changes of that part, below.
             let hears = |card: &Card| is_config_new || card.share.is_all();
@@ -57,7 +57,7 @@
             fastrand::shuffle(&mut addrs);
             addrs.truncate(NEWER_NEAR);
             let mut far = self.one_of_each(&state, hears);
-            if !std::mem::take(&mut state.is_first_to_tell) {
+            if !std::mem::take(&mut state.is_update_from_directory) {
                 fastrand::shuffle(&mut far);
                 far.truncate(usize::from(fastrand::u32(..NEWER_FAR) == 0));
             }
@@ -74,7 +74,7 @@
     /// A message with the recent changes of the upstream list, or only with its revision if they are too long.
     fn changes(&self, state: &mut ControlState) -> Changes {
         let Versions { config, fleet } = Control::versions(state);
-        let since = state.pushed.front().copied().unwrap_or(0);
+        let since = state.pushed_revisions.front().copied().unwrap_or(0);
         let nothing = Changes {
             from: Arc::clone(&self.me.id),
             config,
@@ -83,12 +83,12 @@
             holder: self.list_holder_to_tell(state),
             part: None,
         };
-        if !state.part.share.is_all() {
+        if !state.held_part.share.is_all() {
             return nothing;
         }
-        state.pushed.push_back(fleet);
-        if state.pushed.len() > PUSHES_REPEATED {
-            state.pushed.pop_front();
+        state.pushed_revisions.push_back(fleet);
+        if state.pushed_revisions.len() > PUSHES_REPEATED {
+            state.pushed_revisions.pop_front();
         }
         let delta = state.fleet.since(since);
         if is_short(&delta) { Changes { since, fleet: delta, ..nothing } } else { nothing }
@@ -97,8 +97,8 @@
     /// The changes since a revision for each peer that holds only a part of the list, if this instance is one
     /// of those that push them.
     fn parts_since(&self, state: &ControlState, since: u64) -> Vec<(SocketAddr, Changes)> {
-        let is_pusher = Control::is_first_hand(state) && self.turn_of(state).before < PUSHERS;
-        if !is_pusher || state.part.large.is_empty() {
+        let is_pusher = Control::has_working_watch(state) && self.turn_of(state).before < PUSHERS;
+        if !is_pusher || state.held_part.large.is_empty() {
             return Vec::new();
         }
         let delta = state.fleet.since(since);
@@ -112,7 +112,7 @@
         let mut parts = Vec::new();
         for member in members {
             let Card { registration, share, .. } = &member.card;
-            let part = Part { share: *share, large: state.part.large.clone() };
+            let part = Part { share: *share, large: state.held_part.large.clone() };
             let holds = shares::holds(&registration.id, &part);
             let is_held = |upstream: &&Upstream| holds(&upstream.id, &upstream.service);
             let gone = gone.iter().filter(|(id, service)| holds(id, service));
@@ -153,14 +153,14 @@
             let pause_ms = ASK_MS / 2 + fastrand::u64(..ASK_MS);
             tokio::time::sleep(Duration::from_millis(pause_ms)).await;
             let state = self.state.borrow();
-            let has_part = state.has_fleet && !state.part.large.is_empty();
-            if !has_part || Control::is_first_hand(&state) {
+            let has_part = state.has_fleet && !state.held_part.large.is_empty();
+            if !has_part || Control::has_working_watch(&state) {
                 continue;
             }
             let ask = ChangesAsk {
                 id: Arc::clone(&self.me.id),
                 versions: Control::versions(&state),
-                share: state.part.share,
+                share: state.held_part.share,
             };
             let holders: Vec<SocketAddr> = Control::list_holders(&state).collect();
             drop(state);
@@ -174,10 +174,10 @@
         let state = self.state.borrow();
         let versions = Control::versions(&state);
         let is_newer = versions.config > ask.versions.config || versions.fleet > ask.versions.fleet;
-        if !state.part.share.is_all() || !is_newer {
+        if !state.held_part.share.is_all() || !is_newer {
             return;
         }
-        let part = Part { share: ask.share, large: state.part.large.clone() };
+        let part = Part { share: ask.share, large: state.held_part.large.clone() };
         let since = ask.versions.fleet;
         let fleet = state.fleet.since_for(since, shares::holds(&ask.id, &part));
         let changes = self.part_changes(&state, since, fleet, part);
@@ -201,8 +201,8 @@
         if let Some(holder) = holder {
             Control::note_list_holder(&mut state, holder);
         }
-        let is_all = state.part.share.is_all();
-        let is_of_share = part.as_ref().is_none_or(|part| part.share == state.part.share);
+        let is_all = state.held_part.share.is_all();
+        let is_of_share = part.as_ref().is_none_or(|part| part.share == state.held_part.share);
         let is_whole_list = is_all && part.is_none_or(|part| part.share.is_all());
         if is_whole_list && state.has_fleet && since <= state.fleet.revision {
             drop(state);
@@ -222,10 +222,10 @@
     fn take_part(&self, state: &mut ControlState, since: u64, mut delta: Delta, now_ms: u64) {
         if since == u64::MAX {
             // The sender has more changes than fit into a message.
-            state.is_behind |= delta.revision > state.fleet.revision;
+            state.has_missed_changes |= delta.revision > state.fleet.revision;
             return;
         }
-        let holds = shares::holds(&self.me.id, &state.part);
+        let holds = shares::holds(&self.me.id, &state.held_part);
         delta.upstreams.retain(|upstream| holds(&upstream.id, &upstream.service));
         state.fleet.patch(delta, since, now_ms);
     }
--- a/src/gateway/control/directory.rs
+++ b/src/gateway/control/directory.rs
@@ -84,7 +84,7 @@
         let versions = Control::versions(&state);
         let has_config =
             state.config.is_some() && versions.config >= state.membership.newest_config();
-        (state.has_fleet && state.part.share.is_all() && has_config).then_some(versions.fleet)
+        (state.has_fleet && state.held_part.share.is_all() && has_config).then_some(versions.fleet)
     }
 
     /// Watches the directory for changes. Returns `true` once enough other instances watch it, and `false` if
@@ -104,11 +104,11 @@
             let wait_ms = if is_check { CHECK_WAIT_MS } else { turn.wait_ms() };
             let watched = tokio::select! {
                 watched = self.directory.watch(revision, wait_ms) => watched,
-                () = self.doubted_directory.notified(), if !is_check => {
+                () = self.directory_check.notified(), if !is_check => {
                     is_check = true;
                     continue;
                 }
-                () = self.broken_watch.notified() => {
+                () = self.watch_restart.notified() => {
                     slog::info!(self.log, "directory watch lags behind peers; restarting it";
                         "revision" => revision);
                     continue;
@@ -146,8 +146,8 @@
     }
 
     pub(super) fn turn_of(&self, state: &ControlState) -> Turn {
-        let first_hand = state.membership.alive().filter(|member| member.card.is_first_hand);
-        Turn::of(state.membership.my_rank(), first_hand.map(|member| member.card.rank()))
+        let watching_peers = state.membership.alive().filter(|member| member.card.is_first_hand);
+        Turn::of(state.membership.my_rank(), watching_peers.map(|member| member.card.rank()))
     }
 
     /// The factor on the retry pause by rank, so that few instances call an unreachable directory often.
@@ -174,7 +174,7 @@
         if is_settling || !turn.watches() {
             return false;
         }
-        let short_ms = state.few_watch_since_ms.map_or(0, |since_ms| now_ms - since_ms);
+        let short_ms = state.too_few_watchers_since_ms.map_or(0, |since_ms| now_ms - since_ms);
         watchers::may_read(before_me, short_ms)
     }
 
@@ -232,11 +232,11 @@
     pub(super) fn directory_answered(&self) {
         let now_ms = self.clock.now_ms();
         let mut state = self.state.borrow_mut();
-        state.answered_ms = now_ms;
+        state.directory_answered_ms = now_ms;
         state.is_watching = true;
         if state.is_directory_lost {
             state.is_directory_lost = false;
-            if !std::mem::take(&mut state.is_outage_own) {
+            if !std::mem::take(&mut state.is_outage_local) {
                 state.fleet.regained(now_ms);
             }
             slog::info!(self.log, "directory answers again");
@@ -275,10 +275,10 @@
         if state.fleet.replace(listing.revision, upstreams, &foreign, now_ms) {
             state.has_fleet = true;
         }
-        state.part.share = Share::ALL;
+        state.held_part.share = Share::ALL;
         state.wanted_share = None;
         Control::note_large(&mut state);
-        state.is_first_to_tell = true;
+        state.is_update_from_directory = true;
         drop(state);
         self.publish();
     }
@@ -307,13 +307,13 @@
         for change in &of_upstreams {
             self.log_change(change);
             if let Change::Gone(id) | Change::Foreign(id) = change {
-                self.state.borrow_mut().found.remove(id);
+                self.state.borrow_mut().rediscovered.remove(id);
             }
         }
         let mut state = self.state.borrow_mut();
         state.fleet.apply(changes.revision, of_upstreams, now_ms);
         Control::note_large(&mut state);
-        state.is_first_to_tell = true;
+        state.is_update_from_directory = true;
         drop(state);
         self.publish();
     }
@@ -367,7 +367,7 @@
                 // A registration that was in progress when the stop began may have completed.
                 return self.release().await;
             }
-            let lease = self.state.borrow().lease;
+            let lease = self.state.borrow().registration_lease;
             if lease.is_none() && !self.registers() {
                 let pause_ms = REGISTER_LOOK_MS + fastrand::u64(..REGISTER_LOOK_MS);
                 tokio::time::sleep(Duration::from_millis(pause_ms)).await;
@@ -383,7 +383,7 @@
                     retry_ms = RETRY_MOST_MS;
                     tokio::time::sleep(Duration::from_millis(RENEW_MS)).await;
                 }
-                Err(Fault::LeaseEnded) => self.state.borrow_mut().lease = None,
+                Err(Fault::LeaseEnded) => self.state.borrow_mut().registration_lease = None,
                 Err(fault) => {
                     slog::info!(self.log, "could not register or renew the registration"; "why" => %fault);
                     tokio::time::sleep(Duration::from_millis(retry_ms)).await;
@@ -410,7 +410,7 @@
     pub(super) async fn register(&self) -> Result<(), Fault> {
         let registering = self.directory.register(&self.me, LEASE_MS);
         let lease = self.timed("register", registering).await?;
-        self.state.borrow_mut().lease = Some(lease);
+        self.state.borrow_mut().registration_lease = Some(lease);
         Ok(())
     }
 }
--- a/src/gateway/control/duties.rs
+++ b/src/gateway/control/duties.rs
@@ -42,9 +42,9 @@
             let now_ms = self.clock.now_ms();
             let mut state = self.state.borrow_mut();
             for (organisation, began_ms) in self.shared.take_begun() {
-                state.counter.count(organisation, began_ms);
+                state.usage_counter.count(organisation, began_ms);
             }
-            let slots = state.counter.told(now_ms);
+            let slots = state.usage_counter.told(now_ms);
             if slots.is_empty() && now_ms < told_ms + TELL_NOTHING_MS {
                 continue;
             }
--- a/src/gateway/control/exchange.rs
+++ b/src/gateway/control/exchange.rs
@@ -90,16 +90,16 @@
         let mut state = self.state.borrow_mut();
         state.membership.tick(now_ms, &mut fastrand::Rng::new());
         state.fleet.expire(now_ms);
-        state.guests.retain(|_, guest| guest.until_ms > now_ms);
-        let is_heard = Control::is_directory_heard(&state);
-        let first_hand = state.membership.alive().filter(|member| member.card.is_first_hand);
-        let watching = first_hand.count() + usize::from(Control::is_first_hand(&state));
+        state.temporary_upstreams.retain(|_, temporary| temporary.until_ms > now_ms);
+        let is_reachable = Control::is_directory_reachable(&state);
+        let watching_peers = state.membership.alive().filter(|member| member.card.is_first_hand);
+        let watching = watching_peers.count() + usize::from(Control::has_working_watch(&state));
         if watchers::are_enough(watching) {
-            state.few_watch_since_ms = None;
+            state.too_few_watchers_since_ms = None;
         } else {
-            state.few_watch_since_ms.get_or_insert(now_ms);
+            state.too_few_watchers_since_ms.get_or_insert(now_ms);
         }
-        if state.found.note_directory(is_heard, now_ms) {
+        if state.rediscovered.note_directory(is_reachable, now_ms) {
             slog::info!(self.log, "rediscovered engines dropped; only the directory's list counts");
         }
         state.loads.forget(now_ms);
@@ -136,7 +136,7 @@
             let own = self.shared.own();
             let mut state = self.state.borrow_mut();
             state.loads.note_own(&own, now_ms);
-            let Some(change) = state.told.take(own) else { continue };
+            let Some(change) = state.reported_load.take(own) else { continue };
             state.loads.note_places(&change.places, now_ms);
             for id in change.lost {
                 self.note_lost(&mut state, id, now_ms);
@@ -144,7 +144,7 @@
             let sent = change.sent;
             let news = self.load_news(&mut state);
             let news = LoadNews { held: change.held, sent, places: change.places, ..news };
-            let near = state.placing_near.clone();
+            let near = state.placing_peers.clone();
             drop(state);
             self.send(&Message::Loads(news), &near);
         }
@@ -152,11 +152,11 @@
 
     /// An empty load update with the next sequence number.
     fn load_news(&self, state: &mut ControlState) -> LoadNews {
-        state.messages += 1;
+        state.load_sequence += 1;
         LoadNews {
             id: Arc::clone(&self.me.id),
             incarnation: self.me.incarnation,
-            count: state.messages,
+            count: state.load_sequence,
             is_whole: false,
             held: Vec::new(),
             sent: None,
@@ -181,11 +181,11 @@
         let says_nothing = news.held.is_empty()
             && news.sent_by_ended.is_empty()
             && news.sent.iter().flatten().all(|sent| sent.requests + sent.repeats == 0);
-        if says_nothing && std::mem::replace(&mut state.has_told_nothing, true) {
+        if says_nothing && std::mem::replace(&mut state.has_reported_no_load, true) {
             return;
         }
-        state.has_told_nothing = says_nothing;
-        let mut near = state.placing_near.clone();
+        state.has_reported_no_load = says_nothing;
+        let mut near = state.placing_peers.clone();
         drop(state);
         fastrand::shuffle(&mut near);
         near.truncate(REFRESHED);
@@ -196,7 +196,7 @@
     /// domain, so that together they send at a constant rate.
     pub(super) async fn tell_digests(self: Rc<Control>) {
         loop {
-            let here = self.state.borrow().placing_near.len() as u64 + 1;
+            let here = self.state.borrow().placing_peers.len() as u64 + 1;
             let pause_ms = here * DIGEST_MS / 2 + fastrand::u64(..=here * DIGEST_MS);
             tokio::time::sleep(Duration::from_millis(pause_ms)).await;
             let now_ms = self.clock.now_ms();
@@ -265,7 +265,7 @@
             Message::Changes(changes) => self.hear_changes(changes, from, now_ms),
             Message::AskChanges(ask) => self.hear_changes_ask(&ask, from),
             Message::AskUpstream(id) => self.hear_upstream_ask(&id, from),
-            Message::Upstream(upstream) => self.take_guest(upstream),
+            Message::Upstream(upstream) => self.add_temporary_upstream(upstream),
             Message::AskPermit(ask) => self.hear_permit_ask(ask, from),
             Message::Permit(number, permit) => self.hear_permit(number, permit),
             Message::Signals(news) => self.hear_signals(news),
@@ -347,7 +347,7 @@
         if !state.loads.hear_digest(digest, now_ms) {
             return;
         }
-        let near = state.placing_near.clone();
+        let near = state.placing_peers.clone();
         drop(state);
         self.dirty.notify_one();
         if let Some(digest) = passed_on {
--- a/src/gateway/control/knowledge.rs
+++ b/src/gateway/control/knowledge.rs
@@ -117,15 +117,15 @@
     /// Answers a peer's request for the upstream list; `None` if this instance doesn't hold the full list.
     pub fn list_for(&self, asked: &ListAsk) -> Option<Listed> {
         let state = self.state.borrow();
-        if !state.has_fleet || !state.part.share.is_all() {
+        if !state.has_fleet || !state.held_part.share.is_all() {
             return None;
         }
         let large = || {
             let services = state.fleet.upstreams.values().map(|upstream| &upstream.service);
-            services.filter(|service| state.part.large.contains(*service))
+            services.filter(|service| state.held_part.large.contains(*service))
         };
         let share = asked.share.unwrap_or_else(|| subset::first_share(large()));
-        let part = Part { share, large: state.part.large.clone() };
+        let part = Part { share, large: state.held_part.large.clone() };
         let holds = shares::holds(&asked.id, &part);
         if asked.since > 0 && asked.after.is_empty() {
             let delta = state.fleet.since_for(asked.since, &holds);
@@ -155,7 +155,7 @@
         }
         if state.is_watching && behind_ms >= BROKEN_WATCH_MS {
             state.behind_since_ms = None;
-            self.broken_watch.notify_one();
+            self.watch_restart.notify_one();
         }
         drop(state);
         if let Some(addr) = config_source {
@@ -189,7 +189,7 @@
             let mut state = control.state.borrow_mut();
             state.is_fetching_list = false;
             if !is_fetched {
-                state.list_retry_ms = control.clock.now_ms() + retry_pause_ms();
+                state.next_list_fetch_ms = control.clock.now_ms() + retry_pause_ms();
             }
         });
     }
@@ -246,7 +246,7 @@
     fn list_ask(&self, pages: &Pages) -> ListAsk {
         let state = self.state.borrow();
         let since = if state.wanted_share.is_some() { 0 } else { Control::versions(&state).fleet };
-        let wanted = state.wanted_share.or(state.has_fleet.then_some(state.part.share));
+        let wanted = state.wanted_share.or(state.has_fleet.then_some(state.held_part.share));
         ListAsk {
             id: Arc::clone(&self.me.id),
             since,
@@ -258,7 +258,7 @@
     /// A peer other than `failed` that may hold the full list; `failed` if there is none.
     fn other_source(&self, failed: SocketAddr) -> SocketAddr {
         let state = self.state.borrow();
-        let told = state.list_holders_told.iter().copied();
+        let told = state.reported_list_holders.iter().copied();
         let all = told.chain(Control::list_holders(&state));
         let others: Vec<SocketAddr> = all.filter(|addr| *addr != failed).collect();
         fastrand::choice(others).unwrap_or(failed)
@@ -278,20 +278,20 @@
     /// knows of a newer list. Changes of a part are pushed, so an instance that holds only a part doesn't
     /// fetch a list for being newer.
     fn list_source(&self, state: &ControlState, now_ms: u64) -> Option<SocketAddr> {
-        if state.is_fetching_list || now_ms < state.list_retry_ms {
+        if state.is_fetching_list || now_ms < state.next_list_fetch_ms {
             return None;
         }
         let known = Control::versions(state).fleet;
         let holds_newer =
             |member: &Member| member.card.share.is_all() && member.versions.fleet > known;
-        let is_told = !state.part.share.is_all();
+        let is_told = !state.held_part.share.is_all();
         if state.has_fleet && state.wanted_share.is_none() && !is_told {
             return self.source(state, holds_newer);
         }
-        if state.has_fleet && state.wanted_share.is_none() && !state.is_behind {
+        if state.has_fleet && state.wanted_share.is_none() && !state.has_missed_changes {
             return None;
         }
-        let told = fastrand::choice(&state.list_holders_told).copied();
+        let told = fastrand::choice(&state.reported_list_holders).copied();
         let by_rank = || fastrand::choice(Control::list_holders(state).collect::<Vec<_>>());
         if state.has_fleet {
             return told.or_else(by_rank);
@@ -304,20 +304,20 @@
 
     /// Records the address of an instance that holds the full list, as reported by a peer.
     pub(super) fn note_list_holder(state: &mut ControlState, addr: SocketAddr) {
-        if !state.list_holders_told.contains(&addr) {
-            state.list_holders_told.push_back(addr);
+        if !state.reported_list_holders.contains(&addr) {
+            state.reported_list_holders.push_back(addr);
         }
-        if state.list_holders_told.len() > MOST_HOLDERS_TOLD {
-            state.list_holders_told.pop_front();
+        if state.reported_list_holders.len() > MOST_HOLDERS_TOLD {
+            state.reported_list_holders.pop_front();
         }
     }
 
     /// The address of an instance that holds the full list, to be reported to peers.
     pub(super) fn list_holder_to_tell(&self, state: &ControlState) -> Option<SocketAddr> {
-        if state.has_fleet && state.part.share.is_all() {
+        if state.has_fleet && state.held_part.share.is_all() {
             return Some(self.me.peer_addr);
         }
-        fastrand::choice(&state.list_holders_told).copied()
+        fastrand::choice(&state.reported_list_holders).copied()
     }
 
     /// The addresses of the live peers that should hold the full list by their rank.
@@ -333,11 +333,11 @@
             "revision" => revision, "before" => state.fleet.revision, "pages" => pages.len(),
             "halvings" => part.share.halvings());
         state.has_fleet = true;
-        state.is_outage_own = state.is_directory_lost;
+        state.is_outage_local = state.is_directory_lost;
         state.fleet.adopt(revision, pages, now_ms);
-        state.is_behind = false;
+        state.has_missed_changes = false;
         state.wanted_share = None;
-        state.part = part;
+        state.held_part = part;
         drop(state);
         self.publish();
     }
@@ -346,11 +346,11 @@
     fn take_changes_since(&self, since: u64, delta: Delta, part: &Part, from: SocketAddr) {
         let mut state = self.state.borrow_mut();
         self.follow_large(&mut state, part);
-        state.is_behind = false;
-        if state.part.share.is_all() {
+        state.has_missed_changes = false;
+        if state.held_part.share.is_all() {
             drop(state);
             self.take_delta(delta, from);
-        } else if state.part.share == part.share {
+        } else if state.held_part.share == part.share {
             state.fleet.patch(delta, since, self.clock.now_ms());
             drop(state);
         } else {
@@ -367,7 +367,7 @@
         let is_newer = revision > state.fleet.revision || !state.has_fleet;
         if is_newer && revision > 0 {
             state.has_fleet = true;
-            state.is_outage_own = state.is_directory_lost;
+            state.is_outage_local = state.is_directory_lost;
             slog::debug!(self.log, "upstream changes from a peer applied"; "peer" => %from,
                 "revision" => revision, "before" => state.fleet.revision);
             state.fleet.take(delta, now_ms);
--- a/src/gateway/control/permits.rs
+++ b/src/gateway/control/permits.rs
@@ -25,10 +25,10 @@
             let _ = answer.send(permit);
             return;
         };
-        state.permits.retain(|_, waiting| !waiting.is_closed());
-        state.permit_number += 1;
-        let number = state.permit_number;
-        state.permits.insert(number, answer);
+        state.pending_permits.retain(|_, waiting| !waiting.is_closed());
+        state.last_permit_number += 1;
+        let number = state.last_permit_number;
+        state.pending_permits.insert(number, answer);
         drop(state);
         self.send(&Message::AskPermit(PermitAsk { number, upstream, rate }), &[owner]);
     }
@@ -65,7 +65,7 @@
     }
 
     pub(super) fn hear_permit(&self, number: u64, permit: Permit) {
-        if let Some(answer) = self.state.borrow_mut().permits.remove(&number) {
+        if let Some(answer) = self.state.borrow_mut().pending_permits.remove(&number) {
             // The requester may have given up.
             let _ = answer.send(permit);
         }
--- a/src/gateway/control/shares.rs
+++ b/src/gateway/control/shares.rs
@@ -14,7 +14,7 @@
 use super::{Control, ControlState};
 
 /// How long an upstream that was looked up by its id is published: long enough to send a request to it.
-const GUEST_MS: u64 = 1_000;
+const TEMPORARY_UPSTREAM_TTL_MS: u64 = 1_000;
 /// How long an instance keeps a wider share than it needs after it ran out of upstreams.
 const WIDE_MS: u64 = 30_000;
 /// How long after its start an instance knows nearly all members. While it knows only a few, it would consider
@@ -29,35 +29,35 @@
     /// Adopts the set of large services from an instance that holds all upstreams: narrows services that became
     /// large to this instance's share, and requests a fetch for those that no longer are.
     pub(super) fn follow_large(&self, state: &mut ControlState, told: &Part) {
-        if state.part.large == told.large {
+        if state.held_part.large == told.large {
             return;
         }
-        let is_less = state.part.large.iter().any(|service| !told.large.contains(service));
-        state.part.large = told.large.clone();
-        state.suitable = None;
-        if state.part.share.is_all() {
+        let is_less = state.held_part.large.iter().any(|service| !told.large.contains(service));
+        state.held_part.large = told.large.clone();
+        state.cached_suitable_share = None;
+        if state.held_part.share.is_all() {
             return;
         }
         if is_less {
             let is_small = told.large.is_empty();
-            state.wanted_share = Some(if is_small { Share::ALL } else { state.part.share });
+            state.wanted_share = Some(if is_small { Share::ALL } else { state.held_part.share });
         }
-        let ControlState { fleet, part, .. } = state;
-        fleet.narrow(holds(&self.me.id, part));
+        let ControlState { fleet, held_part, .. } = state;
+        fleet.narrow(holds(&self.me.id, held_part));
     }
 
     /// The share of the large services that suits the size of the fleet, estimated from the upstreams held here.
     pub(super) fn suitable_share(state: &ControlState) -> Share {
         let services = state.fleet.upstreams.values().map(|upstream| &upstream.service);
-        let large = services.filter(|service| state.part.large.contains(*service));
-        subset::share(large, state.part.share, state.membership.alive().count() + 1)
+        let large = services.filter(|service| state.held_part.large.contains(*service));
+        subset::share(large, state.held_part.share, state.membership.alive().count() + 1)
     }
 
     /// Recomputes which services are large, if this instance holds all upstreams.
     pub(super) fn note_large(state: &mut ControlState) {
-        if state.part.share.is_all() {
+        if state.held_part.share.is_all() {
             let services = state.fleet.upstreams.values().map(|upstream| &upstream.service);
-            state.part.large = subset::large(services, &state.part.large);
+            state.held_part.large = subset::large(services, &state.held_part.large);
         }
     }
 
@@ -65,14 +65,14 @@
     /// share is kept for a while after the instance ran out of upstreams.
     pub(super) fn settle_share(&self, now_ms: u64) {
         let mut state = self.state.borrow_mut();
-        if !state.has_fleet || state.part.large.is_empty() || state.wanted_share.is_some() {
+        if !state.has_fleet || state.held_part.large.is_empty() || state.wanted_share.is_some() {
             return;
         }
         let before_me = state.membership.before_me();
         let instances = state.membership.alive().count() + 1;
-        let share = state.part.share;
+        let share = state.held_part.share;
         if watchers::keeps_all(before_me) {
-            state.narrows_since_ms = None;
+            state.can_narrow_since_ms = None;
             if !share.is_all() && now_ms >= MEMBERS_KNOWN_MS {
                 state.wanted_share = Some(Share::ALL);
             }
@@ -82,11 +82,11 @@
             state.wanted_share = Some(share.wider());
             return;
         }
-        let since_ms = *state.narrows_since_ms.get_or_insert(now_ms);
+        let since_ms = *state.can_narrow_since_ms.get_or_insert(now_ms);
         let is_settled = watchers::is_far_behind(before_me) || now_ms >= since_ms + NARROW_AFTER_MS;
         let suitable = Control::suitable_share(&state);
         let is_wide = suitable > share && (share.is_all() || suitable > share.narrower());
-        if is_wide && is_settled && !state.is_watching && now_ms >= state.wide_until_ms {
+        if is_wide && is_settled && !state.is_watching && now_ms >= state.widened_until_ms {
             self.narrow(&mut state, suitable);
             drop(state);
             self.dirty.notify_one();
@@ -95,9 +95,9 @@
 
     /// Drops the upstreams of large services that are outside a share.
     fn narrow(&self, state: &mut ControlState, share: Share) {
-        let ControlState { fleet, part, .. } = state;
-        part.share = share;
-        fleet.narrow(holds(&self.me.id, part));
+        let ControlState { fleet, held_part, .. } = state;
+        held_part.share = share;
+        fleet.narrow(holds(&self.me.id, held_part));
         slog::info!(self.log, "share narrowed; upstreams of large services dropped";
             "halvings" => share.halvings(), "left" => fleet.upstreams.len());
     }
@@ -119,11 +119,13 @@
 
     /// Publishes an upstream that this instance doesn't hold for a short time. No peer sends changes of this
     /// upstream, so it is dropped before a change of it must be in force.
-    pub(super) fn take_guest(&self, upstream: Upstream) {
-        let until_ms = self.clock.now_ms() + GUEST_MS;
+    pub(super) fn add_temporary_upstream(&self, upstream: Upstream) {
+        let until_ms = self.clock.now_ms() + TEMPORARY_UPSTREAM_TTL_MS;
         let mut state = self.state.borrow_mut();
-        state.guests.insert(Arc::clone(&upstream.id), Guest { upstream, until_ms });
-        state.guest_changes += 1;
+        state
+            .temporary_upstreams
+            .insert(Arc::clone(&upstream.id), TemporaryUpstream { upstream, until_ms });
+        state.temporary_upstream_changes += 1;
         drop(state);
         self.publish();
     }
@@ -132,11 +134,11 @@
     pub(super) fn widen_share(self: &Rc<Control>) {
         let now_ms = self.clock.now_ms();
         let mut state = self.state.borrow_mut();
-        state.wide_until_ms = now_ms + WIDE_MS;
-        if state.part.share.is_all() || state.wanted_share.is_some() {
+        state.widened_until_ms = now_ms + WIDE_MS;
+        if state.held_part.share.is_all() || state.wanted_share.is_some() {
             return;
         }
-        let wider = state.part.share.wider();
+        let wider = state.held_part.share.wider();
         state.wanted_share = Some(wider);
         drop(state);
         slog::info!(self.log, "no usable upstream left; fetching a wider share"; "halvings" => wider.halvings());
@@ -154,7 +156,7 @@
 
 /// An upstream outside this instance's share that is published for a short time.
 #[derive(Debug, Clone)]
-pub(super) struct Guest {
+pub(super) struct TemporaryUpstream {
     pub(super) upstream: Upstream,
     pub(super) until_ms: u64,
 }
--- a/src/gateway/control/successors.rs
+++ b/src/gateway/control/successors.rs
@@ -44,7 +44,7 @@
         let state = self.state.borrow();
         if !Mechanism::Search.is_on()
             || state.phase != Phase::Ready
-            || Control::is_directory_heard(&state)
+            || Control::is_directory_reachable(&state)
         {
             return false;
         }
@@ -82,8 +82,8 @@
         slog::info!(self.log, "engine rediscovered"; "upstream" => &*id, "before" => &*lost.id,
             "address" => %lost.addr, "domain" => &*lost.domain);
         self.metrics.count("engines_found_again");
-        let found = Upstream { id, ..lost };
-        self.take_found(found);
+        let rediscovered = Upstream { id, ..lost };
+        self.take_found(rediscovered);
     }
 
     /// Asks the engine at an address for its id. Returns `None` unless it is healthy and serves only models of
@@ -112,8 +112,8 @@
     /// it if it is new here.
     pub(super) fn take_found(&self, upstream: Upstream) {
         let mut state = self.state.borrow_mut();
-        let is_heard = Control::is_directory_heard(&state);
-        if is_heard || !state.has_fleet || !state.found.add(upstream.clone()) {
+        let is_reachable = Control::is_directory_reachable(&state);
+        if is_reachable || !state.has_fleet || !state.rediscovered.add(upstream.clone()) {
             return;
         }
         state.membership.tell(Rumor::Found(upstream));
