--- a/src/gateway/control.rs
+++ b/src/gateway/control.rs
@@ -253,7 +253,7 @@
             is_fetching_list: false,
             next_list_fetch_ms: 0,
             reported_list_holders: VecDeque::new(),
-            held_part: shares::everything(),
+            held_part: shares::full_part(),
             has_missed_changes: false,
             wanted_share: None,
             widened_until_ms: 0,
@@ -296,21 +296,21 @@
     pub fn start(self: &Rc<Control>, socket: UdpSocket) {
         let socket = Rc::new(socket);
         *self.socket.borrow_mut() = Some(Rc::clone(&socket));
-        tokio::task::spawn_local(Rc::clone(self).follow_directory());
-        tokio::task::spawn_local(Rc::clone(self).keep_registration());
-        tokio::task::spawn_local(Rc::clone(self).hear_peers(socket));
-        tokio::task::spawn_local(Rc::clone(self).observe_peers());
+        tokio::task::spawn_local(Rc::clone(self).watch_directory());
+        tokio::task::spawn_local(Rc::clone(self).maintain_registration());
+        tokio::task::spawn_local(Rc::clone(self).receive_messages(socket));
+        tokio::task::spawn_local(Rc::clone(self).run_probe_rounds());
         tokio::task::spawn_local(Rc::clone(self).gossip());
-        tokio::task::spawn_local(Rc::clone(self).tell_loads());
-        tokio::task::spawn_local(Rc::clone(self).tell_digests());
-        tokio::task::spawn_local(Rc::clone(self).tell_newer());
-        tokio::task::spawn_local(Rc::clone(self).ask_changes());
-        tokio::task::spawn_local(Rc::clone(self).seek_successors());
-        tokio::task::spawn_local(Rc::clone(self).keep_quarantine());
-        tokio::task::spawn_local(Rc::clone(self).keep_signals());
-        tokio::task::spawn_local(Rc::clone(self).tell_usage());
-        tokio::task::spawn_local(Rc::clone(self).keep_duties());
-        tokio::task::spawn_local(Rc::clone(self).publish_changes());
+        tokio::task::spawn_local(Rc::clone(self).send_load_updates());
+        tokio::task::spawn_local(Rc::clone(self).send_digests());
+        tokio::task::spawn_local(Rc::clone(self).announce_versions());
+        tokio::task::spawn_local(Rc::clone(self).request_missed_changes());
+        tokio::task::spawn_local(Rc::clone(self).search_for_engines());
+        tokio::task::spawn_local(Rc::clone(self).maintain_quarantine());
+        tokio::task::spawn_local(Rc::clone(self).process_signals());
+        tokio::task::spawn_local(Rc::clone(self).send_usage());
+        tokio::task::spawn_local(Rc::clone(self).run_duties());
+        tokio::task::spawn_local(Rc::clone(self).publish_when_dirty());
     }
 
     /// Begins a planned stop: peers stop naming this instance to callers at once.
@@ -326,7 +326,7 @@
     }
 
     /// Removes this instance's registration from the directory.
-    pub async fn release(&self) {
+    pub async fn remove_registration(&self) {
         let lease = self.state.borrow_mut().registration_lease.take();
         if let Some(lease) = lease
             && let Err(fault) = self.directory.release(lease).await
@@ -337,7 +337,7 @@
     }
 
     /// Puts a configuration into force if it is newer than the current one; versions never go back.
-    fn take_config(&self, config: Arc<Config>, from: &str) {
+    fn apply_config(&self, config: Arc<Config>, from: &str) {
         let mut state = self.state.borrow_mut();
         let known = state.config.as_ref().map_or(0, |known| known.version);
         if config.version <= known {
@@ -361,11 +361,11 @@
         let has_working_watch = Control::has_working_watch(&state);
         let share = state.held_part.share;
         state.membership.set_me(phase, has_working_watch, share, versions);
-        self.note_members(&mut state);
+        self.apply_member_changes(&mut state);
         state.lost.retain(|_, until_ms| *until_ms > now_ms);
         let before = self.shared.view.load();
-        let share = Control::traffic_share(&mut state);
-        let fleet = self.traffic_list(&mut state, share, &before.fleet);
+        let share = Control::published_share(&mut state);
+        let fleet = self.published_list(&mut state, share, &before.fleet);
         let version = state.quarantine.version();
         let is_quarantine_new = version != state.published_quarantine_version;
         let quarantine = if is_quarantine_new {
@@ -413,7 +413,7 @@
     /// The share of the large services that request handling uses, also on an instance that holds all
     /// upstreams on behalf of others. It is computed from all upstreams, so it is cached until they or the
     /// members change.
-    fn traffic_share(state: &mut ControlState) -> Share {
+    fn published_share(state: &mut ControlState) -> Share {
         if !state.held_part.share.is_all() || state.held_part.large.is_empty() {
             return state.held_part.share;
         }
@@ -429,7 +429,7 @@
     }
 
     /// The upstream list for request handling, rebuilt only if one of its inputs changed.
-    fn traffic_list(
+    fn published_list(
         &self,
         state: &mut ControlState,
         share: Share,
@@ -462,7 +462,7 @@
     }
 
     /// Applies membership changes: drops the load of dead peers, and updates which instances accept callers.
-    fn note_members(&self, state: &mut ControlState) {
+    fn apply_member_changes(&self, state: &mut ControlState) {
         let now_ms = self.clock.now_ms();
         let changed = state.membership.take_changed();
         for id in &changed {
@@ -474,17 +474,17 @@
                 state.loads.remove(id, now_ms);
             }
         }
-        self.doubt_directory(state);
+        self.check_directory_if_suspected(state);
         let has_own = state.fronts_phase == state.phase;
         if changed.is_empty() && has_own {
             return;
         }
         state.fronts_phase = state.phase;
-        self.note_fronts(state);
+        self.update_fronts(state);
     }
 
     /// Computes which instances accept callers, and which peers receive this instance's load updates.
-    fn note_fronts(&self, state: &mut ControlState) {
+    fn update_fronts(&self, state: &mut ControlState) {
         let me = state.membership.my_card();
         let ready = state.membership.alive().filter(|member| member.standing == Standing::Alive);
         let ready = ready.map(|member| &member.card).filter(|card| card.phase == Phase::Ready);
@@ -513,7 +513,7 @@
     /// Checks this instance's own directory watch if another instance has lost the directory: a watch waits
     /// for seconds, and as long as one instance believes that its watch works, nobody searches for engines
     /// that the directory does not list.
-    fn doubt_directory(&self, state: &mut ControlState) {
+    fn check_directory_if_suspected(&self, state: &mut ControlState) {
         let watching_peers =
             state.membership.alive().filter(|member| member.card.is_first_hand).count();
         let before = std::mem::replace(&mut state.watching_peers, watching_peers);
@@ -523,7 +523,7 @@
     }
 
     /// Publishes a new snapshot after changes, at a limited rate so that bursts are combined.
-    async fn publish_changes(self: Rc<Control>) {
+    async fn publish_when_dirty(self: Rc<Control>) {
         loop {
             self.dirty.notified().await;
             self.publish();
@@ -532,7 +532,7 @@
     }
 
     /// Records gauges of the versions, sizes and age of the state.
-    fn note_gauges(&self, now_ms: u64) {
+    fn record_gauges(&self, now_ms: u64) {
         let state = self.state.borrow();
         let versions = Control::versions(&state);
         self.metrics.gauge("config_version", versions.config);
--- a/src/gateway/control/changes.rs
+++ b/src/gateway/control/changes.rs
@@ -34,7 +34,7 @@
 impl Control {
     /// Sends a few peers the versions and recent changes whenever this instance has a newer configuration or
     /// upstream list.
-    pub(super) async fn tell_newer(self: Rc<Control>) {
+    pub(super) async fn announce_versions(self: Rc<Control>) {
         loop {
             self.newer_versions.notified().await;
             tokio::time::sleep(Duration::from_millis(NEWS_MS)).await;
@@ -47,7 +47,7 @@
                 continue;
             }
             let since = state.pushed_revisions.front().copied().unwrap_or(0);
-            let changes = self.changes(&mut state);
+            let changes = self.changes_message(&mut state);
             // Peers that hold only a part of the list receive the changes of that part, below.
             let hears = |card: &Card| is_config_new || card.share.is_all();
             let alive = state.membership.alive().map(|member| &member.card);
@@ -56,13 +56,14 @@
             let mut addrs: Vec<SocketAddr> = near.map(|other| other.peer_addr).collect();
             fastrand::shuffle(&mut addrs);
             addrs.truncate(NEWER_NEAR);
-            let mut far = self.one_of_each(&state, hears);
+            let mut far = self.one_matching_peer_per_other_domain(&state, hears);
             if !std::mem::take(&mut state.is_update_from_directory) {
                 fastrand::shuffle(&mut far);
                 far.truncate(usize::from(fastrand::u32(..NEWER_FAR) == 0));
             }
             addrs.extend(far);
-            let parts = if is_list_new { self.parts_since(&state, since) } else { Vec::new() };
+            let parts =
+                if is_list_new { self.part_changes_since(&state, since) } else { Vec::new() };
             drop(state);
             self.send(&Message::Changes(changes), &addrs);
             for (addr, changes) in parts {
@@ -72,7 +73,7 @@
     }
 
     /// A message with the recent changes of the upstream list, or only with its revision if they are too long.
-    fn changes(&self, state: &mut ControlState) -> Changes {
+    fn changes_message(&self, state: &mut ControlState) -> Changes {
         let Versions { config, fleet } = Control::versions(state);
         let since = state.pushed_revisions.front().copied().unwrap_or(0);
         let nothing = Changes {
@@ -80,7 +81,7 @@
             config,
             since: u64::MAX,
             fleet: Delta { revision: fleet, ..Delta::default() },
-            holder: self.list_holder_to_tell(state),
+            holder: self.known_list_holder(state),
             part: None,
         };
         if !state.held_part.share.is_all() {
@@ -96,7 +97,7 @@
 
     /// The changes since a revision for each peer that holds only a part of the list, if this instance is one
     /// of those that push them.
-    fn parts_since(&self, state: &ControlState, since: u64) -> Vec<(SocketAddr, Changes)> {
+    fn part_changes_since(&self, state: &ControlState, since: u64) -> Vec<(SocketAddr, Changes)> {
         let is_pusher = Control::has_working_watch(state) && self.turn_of(state).before < PUSHERS;
         if !is_pusher || state.held_part.large.is_empty() {
             return Vec::new();
@@ -126,14 +127,23 @@
             if fleet.upstreams.is_empty() && fleet.gone.is_empty() {
                 continue;
             }
-            parts.push((registration.peer_addr, self.part_changes(state, since, fleet, part)));
+            parts.push((
+                registration.peer_addr,
+                self.part_changes_message(state, since, fleet, part),
+            ));
         }
         parts
     }
 
     /// A message with the changes of a part of the list since a revision, or only with the revision if there
     /// are too many.
-    fn part_changes(&self, state: &ControlState, since: u64, fleet: Delta, part: Part) -> Changes {
+    fn part_changes_message(
+        &self,
+        state: &ControlState,
+        since: u64,
+        fleet: Delta,
+        part: Part,
+    ) -> Changes {
         let is_short = is_short(&fleet);
         let nothing = Delta { revision: fleet.revision, ..Delta::default() };
         Changes {
@@ -148,7 +158,7 @@
 
     /// Periodically asks an instance that holds all upstreams for missed changes, if there are large services,
     /// whose changes are not sent to everyone.
-    pub(super) async fn ask_changes(self: Rc<Control>) {
+    pub(super) async fn request_missed_changes(self: Rc<Control>) {
         loop {
             let pause_ms = ASK_MS / 2 + fastrand::u64(..ASK_MS);
             tokio::time::sleep(Duration::from_millis(pause_ms)).await;
@@ -170,7 +180,7 @@
         }
     }
 
-    pub(super) fn hear_changes_ask(&self, ask: &ChangesAsk, from: SocketAddr) {
+    pub(super) fn handle_changes_request(&self, ask: &ChangesAsk, from: SocketAddr) {
         let state = self.state.borrow();
         let versions = Control::versions(&state);
         let is_newer = versions.config > ask.versions.config || versions.fleet > ask.versions.fleet;
@@ -180,12 +190,12 @@
         let part = Part { share: ask.share, large: state.held_part.large.clone() };
         let since = ask.versions.fleet;
         let fleet = state.fleet.since_for(since, shares::holds(&ask.id, &part));
-        let changes = self.part_changes(&state, since, fleet, part);
+        let changes = self.part_changes_message(&state, since, fleet, part);
         drop(state);
         self.send(&Message::Changes(changes), &[from]);
     }
 
-    pub(super) fn hear_changes(
+    pub(super) fn handle_changes(
         self: &Rc<Control>,
         changes: Changes,
         from: SocketAddr,
@@ -195,21 +205,21 @@
         let versions = Versions { config: changes.config, fleet: changes.fleet.revision };
         state.membership.note_versions(&changes.from, versions);
         if let Some(part) = &changes.part {
-            self.follow_large(&mut state, part);
+            self.adopt_large_services(&mut state, part);
         }
         let Changes { since, fleet: delta, part, holder, .. } = changes;
         if let Some(holder) = holder {
-            Control::note_list_holder(&mut state, holder);
+            Control::record_list_holder(&mut state, holder);
         }
         let is_all = state.held_part.share.is_all();
         let is_of_share = part.as_ref().is_none_or(|part| part.share == state.held_part.share);
         let is_whole_list = is_all && part.is_none_or(|part| part.share.is_all());
         if is_whole_list && state.has_fleet && since <= state.fleet.revision {
             drop(state);
-            self.take_delta(delta, from);
+            self.apply_delta(delta, from);
             self.publish();
         } else if !is_all && state.has_fleet && is_of_share {
-            self.take_part(&mut state, since, delta, now_ms);
+            self.apply_part_changes(&mut state, since, delta, now_ms);
             drop(state);
             self.dirty.notify_one();
         } else {
@@ -219,7 +229,13 @@
     }
 
     /// Applies changes of the upstreams that this instance holds.
-    fn take_part(&self, state: &mut ControlState, since: u64, mut delta: Delta, now_ms: u64) {
+    fn apply_part_changes(
+        &self,
+        state: &mut ControlState,
+        since: u64,
+        mut delta: Delta,
+        now_ms: u64,
+    ) {
         if since == u64::MAX {
             // The sender has more changes than fit into a message.
             state.has_missed_changes |= delta.revision > state.fleet.revision;
--- a/src/gateway/control/directory.rs
+++ b/src/gateway/control/directory.rs
@@ -46,13 +46,13 @@
 const REGISTER_LOOK_MS: u64 = 2_000;
 
 impl Control {
-    pub(super) async fn follow_directory(self: Rc<Control>) {
+    pub(super) async fn watch_directory(self: Rc<Control>) {
         let mut retry_ms = RETRY_MS;
         let mut is_history_gone = false;
-        self.ask_seeds().await;
+        self.fetch_from_seeds().await;
         loop {
             self.wait_for_turn().await;
-            if let Some(revision) = self.told_revision().filter(|_| !is_history_gone) {
+            if let Some(revision) = self.revision_from_peers().filter(|_| !is_history_gone) {
                 slog::info!(self.log, "watching the directory from the revision that peers sent";
                     "revision" => revision);
                 is_history_gone = !self.watch(revision).await;
@@ -64,12 +64,12 @@
                     retry_ms = RETRY_MS;
                     let revision = listing.revision;
                     self.directory_answered();
-                    self.take_listing(listing);
+                    self.apply_listing(listing);
                     is_history_gone = !self.watch(revision).await;
                 }
                 Err(fault) => {
                     self.directory_failed(&fault);
-                    let pause_ms = retry_ms * self.patience();
+                    let pause_ms = retry_ms * self.retry_factor();
                     tokio::time::sleep(Duration::from_millis(pause_ms)).await;
                     retry_ms = (retry_ms * 2).min(RETRY_MOST_MS);
                 }
@@ -79,7 +79,7 @@
 
     /// The revision up to which peers sent this instance all upstreams and the newest configuration, so that it
     /// can watch from there without reading the whole directory.
-    fn told_revision(&self) -> Option<u64> {
+    fn revision_from_peers(&self) -> Option<u64> {
         let state = self.state.borrow();
         let versions = Control::versions(&state);
         let has_config =
@@ -121,7 +121,7 @@
                     self.directory_answered();
                     revision = revision.max(changes.revision);
                     let has_any = !changes.records.is_empty() || !changes.removed.is_empty();
-                    self.take_changes(changes);
+                    self.apply_changes(changes);
                     if has_any {
                         tokio::time::sleep(Duration::from_millis(turn.gather_ms())).await;
                     }
@@ -132,7 +132,7 @@
                 }
                 Err(fault) => {
                     self.directory_failed(&fault);
-                    let pause_ms = retry_ms * self.patience();
+                    let pause_ms = retry_ms * self.retry_factor();
                     tokio::time::sleep(Duration::from_millis(pause_ms)).await;
                     retry_ms = (retry_ms * 2).min(RETRY_MOST_MS);
                 }
@@ -151,7 +151,7 @@
     }
 
     /// The factor on the retry pause by rank, so that few instances call an unreachable directory often.
-    fn patience(&self) -> u64 {
+    fn retry_factor(&self) -> u64 {
         Turn::patience(self.state.borrow().membership.before_me())
     }
 
@@ -174,8 +174,8 @@
         if is_settling || !turn.watches() {
             return false;
         }
-        let short_ms = state.too_few_watchers_since_ms.map_or(0, |since_ms| now_ms - since_ms);
-        watchers::may_read(before_me, short_ms)
+        let too_few_ms = state.too_few_watchers_since_ms.map_or(0, |since_ms| now_ms - since_ms);
+        watchers::may_read(before_me, too_few_ms)
     }
 
     /// Whether this instance asks seeds when it starts; the seeds themselves do not.
@@ -188,14 +188,14 @@
     /// many instances that start at once are expensive for the directory. The seeds read it themselves. After
     /// a few requests the instance waits for peers to send what they have, since the seeds of a large fleet
     /// that starts at once would otherwise do nothing but answer.
-    async fn ask_seeds(&self) {
+    async fn fetch_from_seeds(&self) {
         if !self.has_seeds() {
             return;
         }
         let seeds: Vec<SocketAddr> = self.settings.seeds.clone();
-        let patience_ms = START_MS + fastrand::u64(..START_SPREAD_MS);
+        let until_ms = START_MS + fastrand::u64(..START_SPREAD_MS);
         let mut pause_ms = FIRST_PAUSE_MS;
-        while self.clock.now_ms() < patience_ms && !self.state.borrow().has_fleet {
+        while self.clock.now_ms() < until_ms && !self.state.borrow().has_fleet {
             if pause_ms <= LAST_PAUSE_MS {
                 let seed = seeds[fastrand::usize(..seeds.len())];
                 if self.fetch_config(seed).await {
@@ -255,7 +255,7 @@
         }
     }
 
-    pub(super) fn take_listing(&self, listing: Listing) {
+    pub(super) fn apply_listing(&self, listing: Listing) {
         let now_ms = self.clock.now_ms();
         let mut upstreams = Vec::new();
         let mut foreign = Vec::new();
@@ -263,10 +263,10 @@
             match record {
                 Record::Upstream(upstream) => upstreams.push(upstream),
                 Record::ForeignUpstream { id, detail } => {
-                    self.log_foreign(&id, &detail);
+                    self.log_unusable(&id, &detail);
                     foreign.push(id);
                 }
-                record => self.take_record(record),
+                record => self.apply_record(record),
             }
         }
         let mut state = self.state.borrow_mut();
@@ -277,42 +277,42 @@
         }
         state.held_part.share = Share::ALL;
         state.wanted_share = None;
-        Control::note_large(&mut state);
+        Control::update_large_services(&mut state);
         state.is_update_from_directory = true;
         drop(state);
         self.publish();
     }
 
-    pub(super) fn take_changes(&self, changes: Changes) {
+    pub(super) fn apply_changes(&self, changes: Changes) {
         let now_ms = self.clock.now_ms();
-        let mut of_upstreams = Vec::new();
+        let mut upstream_changes = Vec::new();
         for record in changes.records {
             match record {
-                Record::Upstream(upstream) => of_upstreams.push(Change::Put(upstream)),
+                Record::Upstream(upstream) => upstream_changes.push(Change::Put(upstream)),
                 Record::ForeignUpstream { id, detail } => {
-                    self.log_foreign(&id, &detail);
-                    of_upstreams.push(Change::Foreign(id));
+                    self.log_unusable(&id, &detail);
+                    upstream_changes.push(Change::Foreign(id));
                 }
-                record => self.take_record(record),
+                record => self.apply_record(record),
             }
         }
         for removed in changes.removed {
             match removed {
-                Removed::Upstream(id) => of_upstreams.push(Change::Gone(id)),
+                Removed::Upstream(id) => upstream_changes.push(Change::Gone(id)),
                 // The membership protocol detects which instances are alive.
                 Removed::Instance(_) => {}
-                Removed::Holder => self.note_holder(None),
+                Removed::Holder => self.record_duty_holder(None),
             }
         }
-        for change in &of_upstreams {
+        for change in &upstream_changes {
             self.log_change(change);
             if let Change::Gone(id) | Change::Foreign(id) = change {
                 self.state.borrow_mut().rediscovered.remove(id);
             }
         }
         let mut state = self.state.borrow_mut();
-        state.fleet.apply(changes.revision, of_upstreams, now_ms);
-        Control::note_large(&mut state);
+        state.fleet.apply(changes.revision, upstream_changes, now_ms);
+        Control::update_large_services(&mut state);
         state.is_update_from_directory = true;
         drop(state);
         self.publish();
@@ -329,21 +329,21 @@
         }
     }
 
-    fn log_foreign(&self, id: &str, detail: &str) {
+    fn log_unusable(&self, id: &str, detail: &str) {
         slog::warn!(self.log, "ignoring an unusable upstream entry"; "upstream" => id,
             "detail" => detail);
     }
 
-    pub(super) fn take_record(&self, record: Record) {
+    pub(super) fn apply_record(&self, record: Record) {
         match record {
-            Record::Config(config) => self.take_config(config, "directory"),
+            Record::Config(config) => self.apply_config(config, "directory"),
             Record::Instance(registration) => {
                 self.state.borrow_mut().membership.contact(&registration);
             }
             Record::Crashes(record) => {
-                self.take_crashes(record, "directory");
+                self.merge_crash_record(record, "directory");
             }
-            Record::Holder(holder) => self.note_holder(Some(holder)),
+            Record::Holder(holder) => self.record_duty_holder(Some(holder)),
             Record::Unreadable { key, detail } => {
                 slog::warn!(self.log, "record refused; the previous value stays in force";
                     "key" => key, "detail" => detail);
@@ -353,22 +353,22 @@
     }
 
     /// Records which instance holds the duties.
-    fn note_holder(&self, holder: Option<Holder>) {
+    fn record_duty_holder(&self, holder: Option<Holder>) {
         let now_ms = self.clock.now_ms();
         let mut state = self.state.borrow_mut();
         state.duty_lease.note_holder(holder.as_ref(), now_ms);
         state.duty_holder = holder;
     }
 
-    pub(super) async fn keep_registration(self: Rc<Control>) {
+    pub(super) async fn maintain_registration(self: Rc<Control>) {
         let mut retry_ms = RETRY_MOST_MS;
         loop {
             if self.is_stopping() {
                 // A registration that was in progress when the stop began may have completed.
-                return self.release().await;
+                return self.remove_registration().await;
             }
             let lease = self.state.borrow().registration_lease;
-            if lease.is_none() && !self.registers() {
+            if lease.is_none() && !self.should_register() {
                 let pause_ms = REGISTER_LOOK_MS + fastrand::u64(..REGISTER_LOOK_MS);
                 tokio::time::sleep(Duration::from_millis(pause_ms)).await;
                 continue;
@@ -395,7 +395,7 @@
 
     /// Whether this instance should be registered, by its rank among the live instances that it knows. An
     /// instance with seeds to ask first waits until it knows the others.
-    pub(super) fn registers(&self) -> bool {
+    pub(super) fn should_register(&self) -> bool {
         let now_ms = self.clock.now_ms();
         let state = self.state.borrow();
         let others = state.membership.alive().map(|member| member.card.rank());
--- a/src/gateway/control/duties.rs
+++ b/src/gateway/control/duties.rs
@@ -32,11 +32,11 @@
 
 impl Control {
     /// Periodically sends this instance's usage counts to the instances that may hold the lease.
-    pub(super) async fn tell_usage(self: Rc<Control>) {
+    pub(super) async fn send_usage(self: Rc<Control>) {
         if self.usage_schedule().is_none() {
             return;
         }
-        let mut told_ms = 0;
+        let mut last_sent_ms = 0;
         loop {
             tokio::time::sleep(Duration::from_millis(TELL_MS)).await;
             let now_ms = self.clock.now_ms();
@@ -45,10 +45,10 @@
                 state.usage_counter.count(organisation, began_ms);
             }
             let slots = state.usage_counter.told(now_ms);
-            if slots.is_empty() && now_ms < told_ms + TELL_NOTHING_MS {
+            if slots.is_empty() && now_ms < last_sent_ms + TELL_NOTHING_MS {
                 continue;
             }
-            told_ms = now_ms;
+            last_sent_ms = now_ms;
             let news = UsageNews {
                 id: self.me.id.clone(),
                 incarnation: self.me.incarnation,
@@ -63,7 +63,7 @@
         }
     }
 
-    pub(super) fn hear_usage(&self, news: UsageNews) {
+    pub(super) fn handle_usage_update(&self, news: UsageNews) {
         let now_ms = self.clock.now_ms();
         self.state.borrow_mut().usage.hear(news, now_ms);
     }
@@ -83,16 +83,16 @@
     }
 
     /// Takes the lease if it is free and this instance may hold it, and runs the duties while it holds it.
-    pub(super) async fn keep_duties(self: Rc<Control>) {
+    pub(super) async fn run_duties(self: Rc<Control>) {
         let Some(duties) = self.directory.duties() else { return };
         let mut reported = BTreeSet::new();
         let mut scaler = Scaler::default();
         let mut retry_ms = RETRY_MS;
         loop {
             tokio::time::sleep(Duration::from_millis(LOOK_MS)).await;
-            let kept = self.keep_lease(duties).await;
+            let kept = self.maintain_lease(duties).await;
             let done = match kept {
-                Ok(()) => self.do_duties(duties, &mut reported, &mut scaler).await,
+                Ok(()) => self.perform_duties(duties, &mut reported, &mut scaler).await,
                 Err(fault) => Err(fault),
             };
             self.publish_duties();
@@ -108,7 +108,7 @@
         }
     }
 
-    async fn do_duties(
+    async fn perform_duties(
         &self,
         duties: &dyn DutyCalls,
         reported: &mut BTreeSet<u64>,
@@ -119,7 +119,7 @@
         usage.and(scaling)
     }
 
-    async fn keep_lease(&self, duties: &dyn DutyCalls) -> Result<(), Fault> {
+    async fn maintain_lease(&self, duties: &dyn DutyCalls) -> Result<(), Fault> {
         let now_ms = self.clock.now_ms();
         let action = {
             let mut state = self.state.borrow_mut();
@@ -211,7 +211,7 @@
             if reported.contains(&window.number) {
                 continue;
             }
-            let report = self.report_of(duties, window).await?;
+            let report = self.stored_report(duties, window).await?;
             let Some(fence) = self.fence() else { return Ok(()) };
             match duties.send_report(fence, report).await {
                 Ok(()) => {
@@ -234,7 +234,7 @@
 
     /// The only report of a window: the one that an earlier holder stored, or else one of the present counts.
     /// It is stored before it is sent, so that a later holder sends the same report.
-    async fn report_of(&self, duties: &dyn DutyCalls, window: Window) -> Result<Report, Fault> {
+    async fn stored_report(&self, duties: &dyn DutyCalls, window: Window) -> Result<Report, Fault> {
         let counts = self.state.borrow().usage.counted(window);
         let report = duties.report(window.number, &counts);
         match duties.store_report(window.number, report.clone()).await? {
--- a/src/gateway/control/exchange.rs
+++ b/src/gateway/control/exchange.rs
@@ -40,19 +40,19 @@
     }
 
     /// The live peers in this failure domain.
-    pub(super) fn near_peers(&self, state: &ControlState) -> Vec<SocketAddr> {
+    pub(super) fn domain_peers(&self, state: &ControlState) -> Vec<SocketAddr> {
         let alive = state.membership.alive().map(|member| &member.card.registration);
         let near = alive.filter(|other| other.domain == self.me.domain);
         near.map(|other| other.peer_addr).collect()
     }
 
     /// One random live peer of each other failure domain.
-    pub(super) fn one_of_each_other_domain(&self, state: &ControlState) -> Vec<SocketAddr> {
-        self.one_of_each(state, |_| true)
+    pub(super) fn one_peer_per_other_domain(&self, state: &ControlState) -> Vec<SocketAddr> {
+        self.one_matching_peer_per_other_domain(state, |_| true)
     }
 
     /// One random live peer of each other failure domain among those that satisfy `holds`.
-    pub(super) fn one_of_each(
+    pub(super) fn one_matching_peer_per_other_domain(
         &self,
         state: &ControlState,
         holds: impl Fn(&Card) -> bool,
@@ -69,24 +69,24 @@
 
     /// Runs the periodic round: probes peers, repeats this instance's state to a few of them, and checks the
     /// share that this instance holds.
-    pub(super) async fn observe_peers(self: Rc<Control>) {
+    pub(super) async fn run_probe_rounds(self: Rc<Control>) {
         loop {
             let now_ms = self.clock.now_ms();
-            self.end_round(now_ms);
+            self.advance_round(now_ms);
             self.flush();
-            self.refresh_loads();
+            self.send_full_load();
             self.dirty.notify_one();
-            self.note_gauges(now_ms);
-            self.settle_share(now_ms);
+            self.record_gauges(now_ms);
+            self.adjust_share(now_ms);
             self.fetch_if_behind(now_ms);
-            self.tell_quarantine_to_one();
-            self.tell_signals_to_one();
+            self.send_quarantine_to_one_peer();
+            self.send_signals_to_one_peer();
             tokio::time::sleep(Duration::from_millis(PROBE_MS)).await;
         }
     }
 
     /// Advances the membership protocol, and drops what has expired.
-    fn end_round(&self, now_ms: u64) {
+    fn advance_round(&self, now_ms: u64) {
         let mut state = self.state.borrow_mut();
         state.membership.tick(now_ms, &mut fastrand::Rng::new());
         state.fleet.expire(now_ms);
@@ -128,7 +128,7 @@
     }
 
     /// Sends changes of this instance's load to its failure domain, and spreads lost upstreams to all instances.
-    pub(super) async fn tell_loads(self: Rc<Control>) {
+    pub(super) async fn send_load_updates(self: Rc<Control>) {
         loop {
             self.shared.news.notified().await;
             tokio::time::sleep(Duration::from_millis(NEWS_MS)).await;
@@ -139,10 +139,10 @@
             let Some(change) = state.reported_load.take(own) else { continue };
             state.loads.note_places(&change.places, now_ms);
             for id in change.lost {
-                self.note_lost(&mut state, id, now_ms);
+                self.record_lost(&mut state, id, now_ms);
             }
             let sent = change.sent;
-            let news = self.load_news(&mut state);
+            let news = self.empty_load_update(&mut state);
             let news = LoadNews { held: change.held, sent, places: change.places, ..news };
             let near = state.placing_peers.clone();
             drop(state);
@@ -151,7 +151,7 @@
     }
 
     /// An empty load update with the next sequence number.
-    fn load_news(&self, state: &mut ControlState) -> LoadNews {
+    fn empty_load_update(&self, state: &mut ControlState) -> LoadNews {
         state.load_sequence += 1;
         LoadNews {
             id: Arc::clone(&self.me.id),
@@ -166,7 +166,7 @@
     }
 
     /// Sends the full load of this instance to a few peers.
-    fn refresh_loads(&self) {
+    fn send_full_load(&self) {
         let now_ms = self.clock.now_ms();
         let own = self.shared.own();
         let mut state = self.state.borrow_mut();
@@ -176,7 +176,7 @@
             held: own.held,
             sent: Some(own.sent),
             sent_by_ended,
-            ..self.load_news(&mut state)
+            ..self.empty_load_update(&mut state)
         };
         let says_nothing = news.held.is_empty()
             && news.sent_by_ended.is_empty()
@@ -194,7 +194,7 @@
 
     /// Sends other failure domains a digest of this domain's load. The pause grows with the instances of this
     /// domain, so that together they send at a constant rate.
-    pub(super) async fn tell_digests(self: Rc<Control>) {
+    pub(super) async fn send_digests(self: Rc<Control>) {
         loop {
             let here = self.state.borrow().placing_peers.len() as u64 + 1;
             let pause_ms = here * DIGEST_MS / 2 + fastrand::u64(..=here * DIGEST_MS);
@@ -206,14 +206,14 @@
                 // This instance doesn't receive the load of the others.
                 continue;
             }
-            let far = self.one_of_each_other_domain(&state);
+            let far = self.one_peer_per_other_domain(&state);
             let digest = state.loads.digest(&own, now_ms, &mut fastrand::Rng::new());
             drop(state);
             self.send(&Message::Digest(digest), &far);
         }
     }
 
-    pub(super) async fn hear_peers(self: Rc<Control>, socket: Rc<UdpSocket>) {
+    pub(super) async fn receive_messages(self: Rc<Control>, socket: Rc<UdpSocket>) {
         let mut buffer = vec![0; DATAGRAM_BYTES];
         loop {
             let Ok((length, from)) = socket.recv_from(&mut buffer).await else {
@@ -221,13 +221,13 @@
                 continue;
             };
             match membership::decode(&buffer[..length]) {
-                Some(message) => self.hear(message, from),
+                Some(message) => self.handle_message(message, from),
                 None => self.metrics.count("messages_unreadable"),
             }
         }
     }
 
-    fn hear(self: &Rc<Control>, message: Message, from: SocketAddr) {
+    fn handle_message(self: &Rc<Control>, message: Message, from: SocketAddr) {
         let now_ms = self.clock.now_ms();
         self.state.borrow_mut().membership.note_heard(now_ms);
         match message {
@@ -235,20 +235,20 @@
                 let sender = &probe.card.registration.id;
                 let is_new = self.state.borrow().membership.get(sender).is_none();
                 if is_new {
-                    self.tell_quarantine(&[from]);
+                    self.send_quarantine(&[from]);
                 }
-                self.hear_probe(probe, now_ms, |membership, probe| {
+                self.handle_probe(probe, now_ms, |membership, probe| {
                     membership.hear_ping(probe, from, now_ms, &mut fastrand::Rng::new());
                 });
             }
-            Message::Ack(probe) => self.hear_probe(probe, now_ms, |membership, probe| {
+            Message::Ack(probe) => self.handle_probe(probe, now_ms, |membership, probe| {
                 membership.hear_ack(probe, now_ms);
             }),
             Message::PingOther(probe, target) => {
                 self.state.borrow_mut().membership.hear_ping_other(probe, target, from);
                 self.flush();
             }
-            Message::Rumors(rumors) => self.hear_rumors(rumors, now_ms),
+            Message::Rumors(rumors) => self.handle_rumors(rumors, now_ms),
             Message::Sums(sums, is_answer) => {
                 let mut state = self.state.borrow_mut();
                 state.membership.hear_sums(&sums, is_answer, from, &mut fastrand::Rng::new());
@@ -257,40 +257,40 @@
             }
             Message::Members(members) => {
                 self.state.borrow_mut().membership.hear_members(members, now_ms);
-                self.note_membership();
+                self.signal_membership_changes();
                 self.dirty.notify_one();
             }
-            Message::Loads(news) => self.hear_loads(news, now_ms),
-            Message::Digest(digest) => self.hear_digest(digest, now_ms),
-            Message::Changes(changes) => self.hear_changes(changes, from, now_ms),
-            Message::AskChanges(ask) => self.hear_changes_ask(&ask, from),
-            Message::AskUpstream(id) => self.hear_upstream_ask(&id, from),
+            Message::Loads(news) => self.handle_load_update(news, now_ms),
+            Message::Digest(digest) => self.handle_digest(digest, now_ms),
+            Message::Changes(changes) => self.handle_changes(changes, from, now_ms),
+            Message::AskChanges(ask) => self.handle_changes_request(&ask, from),
+            Message::AskUpstream(id) => self.handle_upstream_request(&id, from),
             Message::Upstream(upstream) => self.add_temporary_upstream(upstream),
-            Message::AskPermit(ask) => self.hear_permit_ask(ask, from),
-            Message::Permit(number, permit) => self.hear_permit(number, permit),
-            Message::Signals(news) => self.hear_signals(news),
-            Message::Usage(news) => self.hear_usage(news),
+            Message::AskPermit(ask) => self.handle_permit_request(ask, from),
+            Message::Permit(number, permit) => self.handle_permit_answer(number, permit),
+            Message::Signals(news) => self.handle_signal_update(news),
+            Message::Usage(news) => self.handle_usage_update(news),
         }
     }
 
-    fn hear_probe(
+    fn handle_probe(
         self: &Rc<Control>,
         probe: Probe,
         now_ms: u64,
-        hear: impl FnOnce(&mut membership::Membership, Probe),
+        handle: impl FnOnce(&mut membership::Membership, Probe),
     ) {
         let sender = &probe.card.registration;
         if sender.id == self.me.id && sender.incarnation == self.me.incarnation {
             return;
         }
-        hear(&mut self.state.borrow_mut().membership, probe);
+        handle(&mut self.state.borrow_mut().membership, probe);
         self.flush();
-        self.note_membership();
+        self.signal_membership_changes();
         self.fetch_if_behind(now_ms);
     }
 
     /// Triggers gossip and publication after membership messages that brought changes.
-    fn note_membership(&self) {
+    fn signal_membership_changes(&self) {
         let state = self.state.borrow();
         if state.membership.has_rumors() {
             self.rumors.notify_one();
@@ -298,24 +298,24 @@
         }
     }
 
-    fn hear_rumors(self: &Rc<Control>, rumors: Vec<Rumor>, now_ms: u64) {
+    fn handle_rumors(self: &Rc<Control>, rumors: Vec<Rumor>, now_ms: u64) {
         for rumor in rumors {
             match rumor {
                 Rumor::Member { card, standing, by } => {
                     let mut state = self.state.borrow_mut();
                     state.membership.hear_of(card, standing, by, now_ms);
                 }
-                Rumor::Lost(id) => self.note_lost(&mut self.state.borrow_mut(), id, now_ms),
-                Rumor::Found(upstream) => self.take_found(upstream),
-                Rumor::Ended(end) => self.hear_end(end, now_ms),
-                Rumor::Crashes(told) => self.hear_crashes(told),
+                Rumor::Lost(id) => self.record_lost(&mut self.state.borrow_mut(), id, now_ms),
+                Rumor::Found(upstream) => self.add_rediscovered(upstream),
+                Rumor::Ended(end) => self.handle_end_report(end, now_ms),
+                Rumor::Crashes(told) => self.handle_crash_record(told),
             }
         }
-        self.note_membership();
+        self.signal_membership_changes();
     }
 
     /// Records that an upstream was lost, and spreads it to all instances if it was not known.
-    fn note_lost(&self, state: &mut ControlState, id: Arc<str>, now_ms: u64) {
+    fn record_lost(&self, state: &mut ControlState, id: Arc<str>, now_ms: u64) {
         let is_known = state.lost.get(&id).is_some_and(|until_ms| *until_ms > now_ms);
         if is_known {
             return;
@@ -329,7 +329,7 @@
         self.dirty.notify_one();
     }
 
-    fn hear_loads(&self, news: LoadNews, now_ms: u64) {
+    fn handle_load_update(&self, news: LoadNews, now_ms: u64) {
         let mut state = self.state.borrow_mut();
         let sender = state.membership.get(&news.id);
         let is_here = sender.is_some_and(|sender| {
@@ -340,7 +340,7 @@
         }
     }
 
-    fn hear_digest(&self, digest: Digest, now_ms: u64) {
+    fn handle_digest(&self, digest: Digest, now_ms: u64) {
         let mut state = self.state.borrow_mut();
         let passed_on =
             digest.is_passed_on.then(|| Digest { is_passed_on: false, ..digest.clone() });
--- a/src/gateway/control/knowledge.rs
+++ b/src/gateway/control/knowledge.rs
@@ -142,7 +142,8 @@
     pub(super) fn fetch_if_behind(self: &Rc<Control>, now_ms: u64) {
         let mut state = self.state.borrow_mut();
         let known = Control::versions(&state);
-        let config_source = self.source(&state, |member| member.versions.config > known.config);
+        let config_source =
+            self.fetch_source(&state, |member| member.versions.config > known.config);
         let list_source = self.list_source(&state, now_ms);
         if config_source.is_none() && list_source.is_none() {
             state.behind_since_ms = None;
@@ -200,7 +201,7 @@
         let asked: Option<Option<Arc<Config>>> = ask(addr, CONFIG_PATH, &ConfigAsk { known }).await;
         match asked {
             Some(Some(config)) => {
-                self.take_config(config, "peer");
+                self.apply_config(config, "peer");
                 self.publish();
                 true
             }
@@ -218,23 +219,23 @@
         let mut pages = Pages::default();
         let mut failed = 0;
         while failed < FETCH_TRIES {
-            let asked = self.list_ask(&pages);
+            let asked = self.list_request(&pages);
             let Some(listed) = ask::<_, Listed>(addr, LIST_PATH, &asked).await else {
                 self.metrics.count("peer_fetches_failed");
                 failed += 1;
                 tokio::time::sleep(Duration::from_millis(FETCH_PAUSE_MS)).await;
-                addr = self.other_source(addr);
+                addr = self.alternative_source(addr);
                 continue;
             };
             failed = 0;
             match listed.content {
                 Content::Changes(delta) => {
-                    self.take_changes_since(asked.since, delta, &listed.part, addr);
+                    self.apply_changes_since(asked.since, delta, &listed.part, addr);
                     return true;
                 }
                 Content::Page(page) => {
                     if pages.add(listed.part, page) {
-                        self.take_pages(pages, addr);
+                        self.apply_pages(pages, addr);
                         return true;
                     }
                 }
@@ -243,7 +244,7 @@
         false
     }
 
-    fn list_ask(&self, pages: &Pages) -> ListAsk {
+    fn list_request(&self, pages: &Pages) -> ListAsk {
         let state = self.state.borrow();
         let since = if state.wanted_share.is_some() { 0 } else { Control::versions(&state).fleet };
         let wanted = state.wanted_share.or(state.has_fleet.then_some(state.held_part.share));
@@ -256,7 +257,7 @@
     }
 
     /// A peer other than `failed` that may hold the full list; `failed` if there is none.
-    fn other_source(&self, failed: SocketAddr) -> SocketAddr {
+    fn alternative_source(&self, failed: SocketAddr) -> SocketAddr {
         let state = self.state.borrow();
         let told = state.reported_list_holders.iter().copied();
         let all = told.chain(Control::list_holders(&state));
@@ -265,7 +266,11 @@
     }
 
     /// A random live peer that satisfies `holds`, preferably of this failure domain.
-    fn source(&self, state: &ControlState, holds: impl Fn(&Member) -> bool) -> Option<SocketAddr> {
+    fn fetch_source(
+        &self,
+        state: &ControlState,
+        holds: impl Fn(&Member) -> bool,
+    ) -> Option<SocketAddr> {
         let fitting = state.membership.alive().filter(|member| holds(member));
         let fitting: Vec<&Registration> = fitting.map(|member| &member.card.registration).collect();
         let is_near = |other: &&&Registration| other.domain == self.me.domain;
@@ -286,7 +291,7 @@
             |member: &Member| member.card.share.is_all() && member.versions.fleet > known;
         let is_told = !state.held_part.share.is_all();
         if state.has_fleet && state.wanted_share.is_none() && !is_told {
-            return self.source(state, holds_newer);
+            return self.fetch_source(state, holds_newer);
         }
         if state.has_fleet && state.wanted_share.is_none() && !state.has_missed_changes {
             return None;
@@ -298,12 +303,12 @@
         }
         // Before any instance has the list, requests would only slow down those that are reading it.
         let is_overdue = now_ms >= LIST_OVERDUE_MS;
-        told.or_else(|| self.source(state, holds_newer))
+        told.or_else(|| self.fetch_source(state, holds_newer))
             .or_else(|| by_rank().filter(|_| is_overdue))
     }
 
     /// Records the address of an instance that holds the full list, as reported by a peer.
-    pub(super) fn note_list_holder(state: &mut ControlState, addr: SocketAddr) {
+    pub(super) fn record_list_holder(state: &mut ControlState, addr: SocketAddr) {
         if !state.reported_list_holders.contains(&addr) {
             state.reported_list_holders.push_back(addr);
         }
@@ -313,7 +318,7 @@
     }
 
     /// The address of an instance that holds the full list, to be reported to peers.
-    pub(super) fn list_holder_to_tell(&self, state: &ControlState) -> Option<SocketAddr> {
+    pub(super) fn known_list_holder(&self, state: &ControlState) -> Option<SocketAddr> {
         if state.has_fleet && state.held_part.share.is_all() {
             return Some(self.me.peer_addr);
         }
@@ -325,7 +330,7 @@
         state.membership.keepers().into_iter().map(|member| member.card.registration.peer_addr)
     }
 
-    fn take_pages(&self, pages: Pages, from: SocketAddr) {
+    fn apply_pages(&self, pages: Pages, from: SocketAddr) {
         let now_ms = self.clock.now_ms();
         let Pages { part: Some(part), revision, pages } = pages else { return };
         let mut state = self.state.borrow_mut();
@@ -343,13 +348,13 @@
     }
 
     /// Applies fetched changes since a revision.
-    fn take_changes_since(&self, since: u64, delta: Delta, part: &Part, from: SocketAddr) {
+    fn apply_changes_since(&self, since: u64, delta: Delta, part: &Part, from: SocketAddr) {
         let mut state = self.state.borrow_mut();
-        self.follow_large(&mut state, part);
+        self.adopt_large_services(&mut state, part);
         state.has_missed_changes = false;
         if state.held_part.share.is_all() {
             drop(state);
-            self.take_delta(delta, from);
+            self.apply_delta(delta, from);
         } else if state.held_part.share == part.share {
             state.fleet.patch(delta, since, self.clock.now_ms());
             drop(state);
@@ -360,7 +365,7 @@
     }
 
     /// Applies a peer's changes to the full list, if they are newer.
-    pub(super) fn take_delta(&self, delta: Delta, from: SocketAddr) {
+    pub(super) fn apply_delta(&self, delta: Delta, from: SocketAddr) {
         let now_ms = self.clock.now_ms();
         let mut state = self.state.borrow_mut();
         let revision = delta.revision;
--- a/src/gateway/control/permits.rs
+++ b/src/gateway/control/permits.rs
@@ -16,7 +16,7 @@
 
 impl Control {
     /// Answers a permit request of this instance, or sends it to the owner of the bucket.
-    pub(super) fn ask_permit(&self, request: PermitRequest) {
+    pub(super) fn request_permit(&self, request: PermitRequest) {
         let PermitRequest { upstream, rate, answer } = request;
         let mut state = self.state.borrow_mut();
         let Some(owner) = self.bucket_owner(&state, &upstream) else {
@@ -59,12 +59,12 @@
         permit
     }
 
-    pub(super) fn hear_permit_ask(&self, ask: PermitAsk, from: SocketAddr) {
+    pub(super) fn handle_permit_request(&self, ask: PermitAsk, from: SocketAddr) {
         let permit = self.grant(&mut self.state.borrow_mut(), &ask.upstream, ask.rate);
         self.send(&Message::Permit(ask.number, permit), &[from]);
     }
 
-    pub(super) fn hear_permit(&self, number: u64, permit: Permit) {
+    pub(super) fn handle_permit_answer(&self, number: u64, permit: Permit) {
         if let Some(answer) = self.state.borrow_mut().pending_permits.remove(&number) {
             // The requester may have given up.
             let _ = answer.send(permit);
--- a/src/gateway/control/quarantine.rs
+++ b/src/gateway/control/quarantine.rs
@@ -20,7 +20,7 @@
 impl Control {
     /// Collects reported crashes, and judges each after a delay in which peers report other upstreams that
     /// ended.
-    pub(super) async fn keep_quarantine(self: Rc<Control>) {
+    pub(super) async fn maintain_quarantine(self: Rc<Control>) {
         loop {
             let settles_ms = self.state.borrow().quarantine.settles_ms();
             let left_ms = settles_ms.map(|at_ms| at_ms.saturating_sub(self.clock.now_ms()));
@@ -29,16 +29,16 @@
                 () = sleep_or_wait(left_ms) => {}
             }
             for report in self.shared.take_reports() {
-                self.take_report(report);
+                self.handle_report(report);
             }
-            self.tell_ends();
-            self.settle();
-            self.tell_quarantine_news();
+            self.gossip_ends();
+            self.judge_crashes();
+            self.publish_quarantine_changes();
         }
     }
 
     /// Gossips which upstreams ended under runs that had just begun.
-    fn tell_ends(&self) {
+    fn gossip_ends(&self) {
         let mut state = self.state.borrow_mut();
         for end in state.quarantine.take_ends() {
             state.membership.tell(Rumor::Ended(end));
@@ -48,7 +48,7 @@
     }
 
     /// Records such an end reported by a peer, and gossips it further if it was not known.
-    pub(super) fn hear_end(&self, end: EndedUnder, now_ms: u64) {
+    pub(super) fn handle_end_report(&self, end: EndedUnder, now_ms: u64) {
         let mut state = self.state.borrow_mut();
         let Some(upstream) = state.fleet.upstreams.get(&end.upstream).cloned() else { return };
         if state.quarantine.hear_end(&upstream, end.fingerprint, now_ms) {
@@ -58,7 +58,7 @@
         }
     }
 
-    fn take_report(self: &Rc<Control>, report: Report) {
+    fn handle_report(self: &Rc<Control>, report: Report) {
         let now_ms = self.clock.now_ms();
         let mut state = self.state.borrow_mut();
         match report {
@@ -70,20 +70,20 @@
                     drop(state);
                     slog::warn!(self.log, "quarantine lifted: the request was served";
                         "fingerprint" => %fingerprint);
-                    self.remember(fingerprint);
+                    self.store_record(fingerprint);
                 }
             }
             Report::Lift(fingerprint) => {
                 let was_known = state.quarantine.lift(fingerprint, now_ms);
                 drop(state);
-                self.remember(fingerprint);
+                self.store_record(fingerprint);
                 slog::warn!(self.log, "quarantine lifted"; "fingerprint" => %fingerprint,
                     "was_known" => was_known);
             }
         }
     }
 
-    fn settle(self: &Rc<Control>) {
+    fn judge_crashes(self: &Rc<Control>) {
         let now_ms = self.clock.now_ms();
         let mut state = self.state.borrow_mut();
         let ControlState { quarantine, fleet, .. } = &mut *state;
@@ -92,7 +92,7 @@
         for (crash, judgement) in settled {
             self.log_crash(&crash, judgement);
             if judgement == Judgement::Quarantined {
-                self.remember(crash.fingerprint);
+                self.store_record(crash.fingerprint);
             }
         }
     }
@@ -113,7 +113,7 @@
     }
 
     /// Stores the record of a request in the directory, retrying while it is unreachable.
-    fn remember(self: &Rc<Control>, fingerprint: Fingerprint) {
+    fn store_record(self: &Rc<Control>, fingerprint: Fingerprint) {
         let control = Rc::clone(self);
         tokio::task::spawn_local(async move {
             for _ in 0..REMEMBER_TRIES {
@@ -133,28 +133,28 @@
     }
 
     /// Merges the record of a request from a peer.
-    pub(super) fn hear_crashes(self: &Rc<Control>, told: CrashRecord) {
+    pub(super) fn handle_crash_record(self: &Rc<Control>, told: CrashRecord) {
         let fingerprint = told.fingerprint;
         // Crashes seen by several instances can add up to a quarantine at any of them, so the few registered
         // instances store it.
-        if self.take_crashes(told, "peer") && self.registers() {
-            self.remember(fingerprint);
+        if self.merge_crash_record(told, "peer") && self.should_register() {
+            self.store_record(fingerprint);
         }
     }
 
     /// Merges the record of a request. Returns whether this quarantines the request here.
-    pub(super) fn take_crashes(&self, told: CrashRecord, from: &'static str) -> bool {
+    pub(super) fn merge_crash_record(&self, told: CrashRecord, from: &'static str) -> bool {
         let fingerprint = told.fingerprint;
         let is_new = self.state.borrow_mut().quarantine.hear(told, self.clock.now_ms());
         if is_new {
             self.log_quarantined(fingerprint, from);
         }
-        self.tell_quarantine_news();
+        self.publish_quarantine_changes();
         is_new
     }
 
     /// Publishes and gossips changed records.
-    fn tell_quarantine_news(&self) {
+    fn publish_quarantine_changes(&self) {
         let now_ms = self.clock.now_ms();
         let mut state = self.state.borrow_mut();
         let news = state.quarantine.take_news(now_ms);
@@ -169,7 +169,7 @@
     }
 
     /// Sends the next batch of all records to some peers.
-    pub(super) fn tell_quarantine(&self, addrs: &[SocketAddr]) {
+    pub(super) fn send_quarantine(&self, addrs: &[SocketAddr]) {
         let now_ms = self.clock.now_ms();
         let part = self.state.borrow_mut().quarantine.next_part(now_ms);
         if !part.is_empty() {
@@ -180,7 +180,7 @@
 
     /// Sends the next batch of all records to one live peer, whatever it knows: gossip ends after a few rounds,
     /// and an instance that was cut off or suspended meanwhile has missed it.
-    pub(super) fn tell_quarantine_to_one(&self) {
+    pub(super) fn send_quarantine_to_one_peer(&self) {
         let state = self.state.borrow();
         if state.quarantine.is_empty() {
             return;
@@ -189,7 +189,7 @@
             state.membership.alive().map(|member| member.card.registration.peer_addr).collect();
         drop(state);
         if let Some(addr) = fastrand::choice(alive) {
-            self.tell_quarantine(&[addr]);
+            self.send_quarantine(&[addr]);
         }
     }
 }
--- a/src/gateway/control/shares.rs
+++ b/src/gateway/control/shares.rs
@@ -28,7 +28,7 @@
 impl Control {
     /// Adopts the set of large services from an instance that holds all upstreams: narrows services that became
     /// large to this instance's share, and requests a fetch for those that no longer are.
-    pub(super) fn follow_large(&self, state: &mut ControlState, told: &Part) {
+    pub(super) fn adopt_large_services(&self, state: &mut ControlState, told: &Part) {
         if state.held_part.large == told.large {
             return;
         }
@@ -54,7 +54,7 @@
     }
 
     /// Recomputes which services are large, if this instance holds all upstreams.
-    pub(super) fn note_large(state: &mut ControlState) {
+    pub(super) fn update_large_services(state: &mut ControlState) {
         if state.held_part.share.is_all() {
             let services = state.fleet.upstreams.values().map(|upstream| &upstream.service);
             state.held_part.large = subset::large(services, &state.held_part.large);
@@ -63,7 +63,7 @@
 
     /// Adjusts the share of the large services to this instance's rank and the number of instances. A wider
     /// share is kept for a while after the instance ran out of upstreams.
-    pub(super) fn settle_share(&self, now_ms: u64) {
+    pub(super) fn adjust_share(&self, now_ms: u64) {
         let mut state = self.state.borrow_mut();
         if !state.has_fleet || state.held_part.large.is_empty() || state.wanted_share.is_some() {
             return;
@@ -103,14 +103,14 @@
     }
 
     /// Looks up an upstream that this instance doesn't hold, on which a request is to continue.
-    pub(super) fn ask_upstream(&self, id: Arc<str>) {
+    pub(super) fn request_upstream(&self, id: Arc<str>) {
         let holders: Vec<SocketAddr> = Control::list_holders(&self.state.borrow()).collect();
         if let Some(addr) = fastrand::choice(holders) {
             self.send(&Message::AskUpstream(id), &[addr]);
         }
     }
 
-    pub(super) fn hear_upstream_ask(&self, id: &str, from: SocketAddr) {
+    pub(super) fn handle_upstream_request(&self, id: &str, from: SocketAddr) {
         let upstream = self.state.borrow().fleet.upstreams.get(id).cloned();
         if let Some(upstream) = upstream {
             self.send(&Message::Upstream(upstream), &[from]);
@@ -162,6 +162,6 @@
 }
 
 /// The part of the list that an instance holds before it has received any: all of it.
-pub(super) fn everything() -> Part {
+pub(super) fn full_part() -> Part {
     Part { share: Share::ALL, large: BTreeSet::new() }
 }
--- a/src/gateway/control/signals.rs
+++ b/src/gateway/control/signals.rs
@@ -10,33 +10,33 @@
 
 impl Control {
     /// Handles signals from this instance's request handling.
-    pub(super) async fn keep_signals(self: Rc<Control>) {
+    pub(super) async fn process_signals(self: Rc<Control>) {
         loop {
             self.shared.signalled.notified().await;
             for signal in self.shared.take_signals() {
                 match signal {
-                    Signal::Rate(upstream, rate) => self.take_news(SignalNews {
+                    Signal::Rate(upstream, rate) => self.record_and_send(SignalNews {
                         rates: vec![NamedRate { upstream, rate, age_ms: 0 }],
                         ..SignalNews::default()
                     }),
-                    Signal::Departure(departure) => self.take_news(SignalNews {
+                    Signal::Departure(departure) => self.record_and_send(SignalNews {
                         departures: vec![departure],
                         ..SignalNews::default()
                     }),
-                    Signal::PermitWanted(request) => self.ask_permit(request),
+                    Signal::PermitWanted(request) => self.request_permit(request),
                     Signal::NoUpstreamLeft => self.widen_share(),
-                    Signal::UpstreamWanted(id) => self.ask_upstream(id),
+                    Signal::UpstreamWanted(id) => self.request_upstream(id),
                 }
             }
         }
     }
 
     /// Records what an upstream announced to this instance, and sends it to all other instances if it is new.
-    fn take_news(&self, news: SignalNews) {
+    fn record_and_send(&self, news: SignalNews) {
         let mut state = self.state.borrow_mut();
-        let Some(news) = self.note_news(&mut state, news) else { return };
-        let near = self.near_peers(&state);
-        let far = self.one_of_each_other_domain(&state);
+        let Some(news) = self.record_new(&mut state, news) else { return };
+        let near = self.domain_peers(&state);
+        let far = self.one_peer_per_other_domain(&state);
         drop(state);
         self.send(&Message::Signals(news.clone()), &near);
         self.send(&Message::Signals(SignalNews { is_passed_on: true, ..news }), &far);
@@ -44,10 +44,10 @@
 
     /// Records what an upstream announced to a peer, and forwards it within this failure domain if it is new and
     /// came from another domain.
-    pub(super) fn hear_signals(&self, news: SignalNews) {
+    pub(super) fn handle_signal_update(&self, news: SignalNews) {
         let mut state = self.state.borrow_mut();
-        let Some(mut news) = self.note_news(&mut state, news) else { return };
-        let near = self.near_peers(&state);
+        let Some(mut news) = self.record_new(&mut state, news) else { return };
+        let near = self.domain_peers(&state);
         drop(state);
         if std::mem::take(&mut news.is_passed_on) {
             self.send(&Message::Signals(news), &near);
@@ -55,7 +55,7 @@
     }
 
     /// Records what is new, and returns it.
-    fn note_news(&self, state: &mut ControlState, mut news: SignalNews) -> Option<SignalNews> {
+    fn record_new(&self, state: &mut ControlState, mut news: SignalNews) -> Option<SignalNews> {
         let now_ms = self.clock.now_ms();
         news.rates.retain(|told| state.named_rates.note(told, now_ms));
         news.departures.retain(|departure| state.departures.note(departure, now_ms));
@@ -67,7 +67,7 @@
     }
 
     /// Sends everything known to one live peer: messages may have been lost, or the peer may have just started.
-    pub(super) fn tell_signals_to_one(&self) {
+    pub(super) fn send_signals_to_one_peer(&self) {
         let state = self.state.borrow();
         let news = SignalNews {
             rates: state.named_rates.all(self.clock.now_ms()),
--- a/src/gateway/control/successors.rs
+++ b/src/gateway/control/successors.rs
@@ -24,23 +24,23 @@
 const ANSWER_TIMEOUT_MS: u64 = 300;
 
 impl Control {
-    pub(super) async fn seek_successors(self: Rc<Control>) {
+    pub(super) async fn search_for_engines(self: Rc<Control>) {
         let mut sought = Sought::default();
         loop {
             tokio::time::sleep(Duration::from_millis(LOOK_MS)).await;
-            self.note_sought(&mut sought);
-            if !self.is_seeker() {
+            self.update_search(&mut sought);
+            if !self.is_searcher() {
                 continue;
             }
             for lost in self.engines(sought.due()) {
                 let control = Rc::clone(&self);
-                tokio::task::spawn_local(async move { control.look_for(lost).await });
+                tokio::task::spawn_local(async move { control.check_address(lost).await });
             }
         }
     }
 
     /// Whether no instance has a working directory watch, and this instance is one of the few that search.
-    fn is_seeker(&self) -> bool {
+    fn is_searcher(&self) -> bool {
         let state = self.state.borrow();
         if !Mechanism::Search.is_on()
             || state.phase != Phase::Ready
@@ -53,7 +53,7 @@
         before.count() < SEEKERS
     }
 
-    fn note_sought(&self, sought: &mut Sought) {
+    fn update_search(&self, sought: &mut Sought) {
         let mut lost = self.shared.own_lost();
         lost.extend(self.state.borrow().lost.keys().cloned());
         let view = self.shared.view.load();
@@ -73,9 +73,11 @@
     }
 
     /// Checks which engine now listens at the address of a lost one.
-    async fn look_for(&self, lost: Upstream) {
+    async fn check_address(&self, lost: Upstream) {
         let limit = Duration::from_millis(ANSWER_TIMEOUT_MS);
-        let Ok(Some(id)) = tokio::time::timeout(limit, self.ask_who(&lost)).await else { return };
+        let Ok(Some(id)) = tokio::time::timeout(limit, self.query_engine(&lost)).await else {
+            return;
+        };
         if id == lost.id {
             return;
         }
@@ -83,12 +85,12 @@
             "address" => %lost.addr, "domain" => &*lost.domain);
         self.metrics.count("engines_found_again");
         let rediscovered = Upstream { id, ..lost };
-        self.take_found(rediscovered);
+        self.add_rediscovered(rediscovered);
     }
 
     /// Asks the engine at an address for its id. Returns `None` unless it is healthy and serves only models of
     /// the same service, since other services may reuse the address.
-    async fn ask_who(&self, lost: &Upstream) -> Option<Arc<str>> {
+    async fn query_engine(&self, lost: &Upstream) -> Option<Arc<str>> {
         let view = self.shared.view.load_full();
         let service = view.config.as_ref()?.services.get(&lost.service)?;
         let engine = service.engine.as_ref()?;
@@ -110,7 +112,7 @@
 
     /// Adds an engine that this instance or a peer rediscovered while the directory is unreachable, and gossips
     /// it if it is new here.
-    pub(super) fn take_found(&self, upstream: Upstream) {
+    pub(super) fn add_rediscovered(&self, upstream: Upstream) {
         let mut state = self.state.borrow_mut();
         let is_reachable = Control::is_directory_reachable(&state);
         if is_reachable || !state.has_fleet || !state.rediscovered.add(upstream.clone()) {
--- a/src/gateway/server.rs
+++ b/src/gateway/server.rs
@@ -181,7 +181,7 @@
         // The grace runs from the order: traffic hears of it before the directory is called, which
         // may take a second to answer. The send fails only if the traffic thread has ended.
         let _ = stop_traffic.send(Some(stop));
-        let _ = tokio::join!(control.release(), traffic_state.changed());
+        let _ = tokio::join!(control.remove_registration(), traffic_state.changed());
         control.leave();
         slog::info!(parts.log, "stopped");
         traffic.join().unwrap_or_else(|_| Err(panicked("traffic")))
