--- a/src/gateway/control.rs
+++ b/src/gateway/control.rs
@@ -55,10 +55,10 @@
 use crate::clock::Clock;
 
 /// The minimum interval between two published snapshots: updates from peers arrive in bursts.
-const PUBLISH_MS: u64 = 10;
+const MIN_PUBLISH_INTERVAL_MS: u64 = 10;
 /// How long the loss of an upstream is remembered: within this time the upstream list drops those that are
 /// really gone.
-const LOST_TOLD_MS: u64 = 4_000;
+const LOSS_TTL_MS: u64 = 4_000;
 
 /// The state that all tasks of the control thread share.
 struct ControlState {
@@ -527,7 +527,7 @@
         loop {
             self.dirty.notified().await;
             self.publish();
-            tokio::time::sleep(Duration::from_millis(PUBLISH_MS)).await;
+            tokio::time::sleep(Duration::from_millis(MIN_PUBLISH_INTERVAL_MS)).await;
         }
     }
 
--- a/src/gateway/control/changes.rs
+++ b/src/gateway/control/changes.rs
@@ -9,27 +9,27 @@
 use super::super::fleet::{Delta, Upstream};
 use super::super::loads::{Changes, Part};
 use super::super::membership::{Card, ChangesAsk, Message, Versions};
-use super::exchange::NEWS_MS;
+use super::exchange::BATCH_DELAY_MS;
 use super::{Control, ControlState, shares};
 
 /// The maximum encoded size of pushed changes; if there are more, peers fetch them.
-const PUSHED_BYTES: usize = 8 << 10;
+const MAX_PUSHED_BYTES: usize = 8 << 10;
 /// How many peers of the same failure domain receive an update; each forwards it to as many, so that all
 /// have it after a few hops.
-const NEWER_NEAR: usize = 3;
+const SAME_DOMAIN_FANOUT: usize = 3;
 /// One of this many instances also forwards an update to one peer of another failure domain: traffic between
 /// domains is billed, and the instance that read the update from the directory sends it to all domains.
-const NEWER_FAR: u32 = 4;
+const OTHER_DOMAIN_FORWARD_ONE_IN: u32 = 4;
 /// In how many consecutive pushes a change is contained: a peer that missed one push catches up with the
 /// next, and one that missed more fetches the changes. With more repetition, each change of a list of
 /// thousands of upstreams arrived a dozen times.
-const PUSHES_REPEATED: usize = 2;
+const PUSHES_PER_CHANGE: usize = 2;
 /// How many instances push changes of large services to the instances that hold a share of them: the first
 /// in rank of those that watch the directory, and one more in case datagrams are lost.
-const PUSHERS: usize = 2;
+const SHARE_PUSHERS: usize = 2;
 /// The mean interval at which an instance asks for changes that it did not receive, because it holds only a
 /// share of a service or because a datagram was lost.
-const ASK_MS: u64 = 1_000;
+const MEAN_REQUEST_INTERVAL_MS: u64 = 1_000;
 
 impl Control {
     /// Sends a few peers the versions and recent changes whenever this instance has a newer configuration or
@@ -37,7 +37,7 @@
     pub(super) async fn announce_versions(self: Rc<Control>) {
         loop {
             self.newer_versions.notified().await;
-            tokio::time::sleep(Duration::from_millis(NEWS_MS)).await;
+            tokio::time::sleep(Duration::from_millis(BATCH_DELAY_MS)).await;
             let mut state = self.state.borrow_mut();
             let versions = Control::versions(&state);
             let told = std::mem::replace(&mut state.announced_versions, versions);
@@ -55,11 +55,11 @@
             let near = near.filter(|other| other.domain == self.me.domain);
             let mut addrs: Vec<SocketAddr> = near.map(|other| other.peer_addr).collect();
             fastrand::shuffle(&mut addrs);
-            addrs.truncate(NEWER_NEAR);
+            addrs.truncate(SAME_DOMAIN_FANOUT);
             let mut far = self.one_matching_peer_per_other_domain(&state, hears);
             if !std::mem::take(&mut state.is_update_from_directory) {
                 fastrand::shuffle(&mut far);
-                far.truncate(usize::from(fastrand::u32(..NEWER_FAR) == 0));
+                far.truncate(usize::from(fastrand::u32(..OTHER_DOMAIN_FORWARD_ONE_IN) == 0));
             }
             addrs.extend(far);
             let parts =
@@ -88,7 +88,7 @@
             return nothing;
         }
         state.pushed_revisions.push_back(fleet);
-        if state.pushed_revisions.len() > PUSHES_REPEATED {
+        if state.pushed_revisions.len() > PUSHES_PER_CHANGE {
             state.pushed_revisions.pop_front();
         }
         let delta = state.fleet.since(since);
@@ -98,7 +98,8 @@
     /// The changes since a revision for each peer that holds only a part of the list, if this instance is one
     /// of those that push them.
     fn part_changes_since(&self, state: &ControlState, since: u64) -> Vec<(SocketAddr, Changes)> {
-        let is_pusher = Control::has_working_watch(state) && self.turn_of(state).before < PUSHERS;
+        let is_pusher =
+            Control::has_working_watch(state) && self.turn_of(state).before < SHARE_PUSHERS;
         if !is_pusher || state.held_part.large.is_empty() {
             return Vec::new();
         }
@@ -160,7 +161,7 @@
     /// whose changes are not sent to everyone.
     pub(super) async fn request_missed_changes(self: Rc<Control>) {
         loop {
-            let pause_ms = ASK_MS / 2 + fastrand::u64(..ASK_MS);
+            let pause_ms = MEAN_REQUEST_INTERVAL_MS / 2 + fastrand::u64(..MEAN_REQUEST_INTERVAL_MS);
             tokio::time::sleep(Duration::from_millis(pause_ms)).await;
             let state = self.state.borrow();
             let has_part = state.has_fleet && !state.held_part.large.is_empty();
@@ -249,6 +250,6 @@
 
 /// Whether changes fit into one message.
 fn is_short(delta: &Delta) -> bool {
-    let is_short = rmp_serde::to_vec(delta).is_ok_and(|bytes| bytes.len() <= PUSHED_BYTES);
+    let is_short = rmp_serde::to_vec(delta).is_ok_and(|bytes| bytes.len() <= MAX_PUSHED_BYTES);
     is_short && !delta.is_whole
 }
--- a/src/gateway/control/directory.rs
+++ b/src/gateway/control/directory.rs
@@ -15,39 +15,39 @@
 use super::{Control, ControlState};
 
 /// The pause after a first failed call; doubled with each further failure up to the maximum.
-const RETRY_MS: u64 = 150;
+const MIN_RETRY_MS: u64 = 150;
 /// The maximum pause after failed calls: the return of the directory should be noticed within half a second.
-const RETRY_MOST_MS: u64 = 500;
+const MAX_RETRY_MS: u64 = 500;
 /// The time to live of a registration after its last renewal.
-const LEASE_MS: u64 = 30_000;
+const REGISTRATION_TTL_MS: u64 = 30_000;
 /// The interval between renewals, a third of the time to live.
-const RENEW_MS: u64 = 10_000;
+const RENEW_INTERVAL_MS: u64 = 10_000;
 /// The maximum pause after a failed renewal: short enough for three more attempts before the lease ends.
-const REGISTER_RETRY_MOST_MS: u64 = 5_000;
+const MAX_REGISTER_RETRY_MS: u64 = 5_000;
 /// How long a starting instance asks seeds at least: a seed that starts at the same time has the
 /// configuration and the upstream list within a few round trips.
-const START_MS: u64 = 400;
+const MIN_SEED_PHASE_MS: u64 = 400;
 /// The first pause between two requests to seeds, doubled each time.
-const FIRST_PAUSE_MS: u64 = 20;
+const MIN_SEED_PAUSE_MS: u64 = 20;
 /// The pause after which a seed is asked for the last time.
-const LAST_PAUSE_MS: u64 = 160;
+const MAX_SEED_PAUSE_MS: u64 = 160;
 /// The random spread that is added to the time for asking seeds, so that starting instances without an
 /// answer do not all call the directory at once.
-const START_SPREAD_MS: u64 = 600;
+const SEED_PHASE_JITTER_MS: u64 = 600;
 /// How often an instance checks whether it should watch the directory.
-const WATCH_LOOK_MS: u64 = 250;
+const WATCH_CHECK_INTERVAL_MS: u64 = 250;
 /// The wait of a watch call that only checks whether the directory still answers.
-const CHECK_WAIT_MS: u64 = 1;
+const CHECK_WATCH_WAIT_MS: u64 = 1;
 /// How long after its start an instance waits to learn which others watch the directory, before it concludes
 /// that none does.
-const SETTLE_MS: u64 = 1_500;
+const WATCHERS_KNOWN_MS: u64 = 1_500;
 /// How long after its start an instance first decides whether to register, and how often it decides again at
 /// the most: by then it knows the other live instances, and being found by registration is not urgent.
-const REGISTER_LOOK_MS: u64 = 2_000;
+const REGISTER_CHECK_MS: u64 = 2_000;
 
 impl Control {
     pub(super) async fn watch_directory(self: Rc<Control>) {
-        let mut retry_ms = RETRY_MS;
+        let mut retry_ms = MIN_RETRY_MS;
         let mut is_history_gone = false;
         self.fetch_from_seeds().await;
         loop {
@@ -61,7 +61,7 @@
             let listed = self.timed("list", self.directory.list()).await;
             match listed {
                 Ok(listing) => {
-                    retry_ms = RETRY_MS;
+                    retry_ms = MIN_RETRY_MS;
                     let revision = listing.revision;
                     self.directory_answered();
                     self.apply_listing(listing);
@@ -71,7 +71,7 @@
                     self.directory_failed(&fault);
                     let pause_ms = retry_ms * self.retry_factor();
                     tokio::time::sleep(Duration::from_millis(pause_ms)).await;
-                    retry_ms = (retry_ms * 2).min(RETRY_MOST_MS);
+                    retry_ms = (retry_ms * 2).min(MAX_RETRY_MS);
                 }
             }
         }
@@ -90,7 +90,7 @@
     /// Watches the directory for changes. Returns `true` once enough other instances watch it, and `false` if
     /// the directory no longer keeps the changes since the revision.
     pub(super) async fn watch(&self, mut revision: u64) -> bool {
-        let mut retry_ms = RETRY_MS;
+        let mut retry_ms = MIN_RETRY_MS;
         // The first call returns at once, so that peers soon learn that this instance has a working watch.
         let mut is_check = true;
         loop {
@@ -101,7 +101,7 @@
                     "revision" => revision);
                 return true;
             }
-            let wait_ms = if is_check { CHECK_WAIT_MS } else { turn.wait_ms() };
+            let wait_ms = if is_check { CHECK_WATCH_WAIT_MS } else { turn.wait_ms() };
             let watched = tokio::select! {
                 watched = self.directory.watch(revision, wait_ms) => watched,
                 () = self.directory_check.notified(), if !is_check => {
@@ -117,7 +117,7 @@
             is_check = false;
             match watched {
                 Ok(changes) => {
-                    retry_ms = RETRY_MS;
+                    retry_ms = MIN_RETRY_MS;
                     self.directory_answered();
                     revision = revision.max(changes.revision);
                     let has_any = !changes.records.is_empty() || !changes.removed.is_empty();
@@ -134,7 +134,7 @@
                     self.directory_failed(&fault);
                     let pause_ms = retry_ms * self.retry_factor();
                     tokio::time::sleep(Duration::from_millis(pause_ms)).await;
-                    retry_ms = (retry_ms * 2).min(RETRY_MOST_MS);
+                    retry_ms = (retry_ms * 2).min(MAX_RETRY_MS);
                 }
             }
         }
@@ -167,10 +167,10 @@
             // An instance that knows a peer soon receives the list from peers, and knows too few members yet
             // to compute its rank.
             let is_alone = state.membership.alive().next().is_none();
-            let since_ms = if is_alone { START_MS } else { SETTLE_MS };
+            let since_ms = if is_alone { MIN_SEED_PHASE_MS } else { WATCHERS_KNOWN_MS };
             return now_ms >= since_ms && watchers::may_read(before_me, now_ms - since_ms);
         }
-        let is_settling = turn.others == 0 && now_ms < SETTLE_MS;
+        let is_settling = turn.others == 0 && now_ms < WATCHERS_KNOWN_MS;
         if is_settling || !turn.watches() {
             return false;
         }
@@ -193,24 +193,24 @@
             return;
         }
         let seeds: Vec<SocketAddr> = self.settings.seeds.clone();
-        let until_ms = START_MS + fastrand::u64(..START_SPREAD_MS);
-        let mut pause_ms = FIRST_PAUSE_MS;
+        let until_ms = MIN_SEED_PHASE_MS + fastrand::u64(..SEED_PHASE_JITTER_MS);
+        let mut pause_ms = MIN_SEED_PAUSE_MS;
         while self.clock.now_ms() < until_ms && !self.state.borrow().has_fleet {
-            if pause_ms <= LAST_PAUSE_MS {
+            if pause_ms <= MAX_SEED_PAUSE_MS {
                 let seed = seeds[fastrand::usize(..seeds.len())];
                 if self.fetch_config(seed).await {
                     self.fetch_list(seed).await;
                 }
             }
             tokio::time::sleep(Duration::from_millis(fastrand::u64(pause_ms..2 * pause_ms))).await;
-            pause_ms = (pause_ms * 2).min(RETRY_MOST_MS);
+            pause_ms = (pause_ms * 2).min(MAX_RETRY_MS);
         }
     }
 
     /// Waits until this instance should watch the directory itself.
     pub(super) async fn wait_for_turn(&self) {
         while !self.should_watch() {
-            tokio::time::sleep(Duration::from_millis(WATCH_LOOK_MS)).await;
+            tokio::time::sleep(Duration::from_millis(WATCH_CHECK_INTERVAL_MS)).await;
         }
     }
 
@@ -361,7 +361,7 @@
     }
 
     pub(super) async fn maintain_registration(self: Rc<Control>) {
-        let mut retry_ms = RETRY_MOST_MS;
+        let mut retry_ms = MAX_RETRY_MS;
         loop {
             if self.is_stopping() {
                 // A registration that was in progress when the stop began may have completed.
@@ -369,7 +369,7 @@
             }
             let lease = self.state.borrow().registration_lease;
             if lease.is_none() && !self.should_register() {
-                let pause_ms = REGISTER_LOOK_MS + fastrand::u64(..REGISTER_LOOK_MS);
+                let pause_ms = REGISTER_CHECK_MS + fastrand::u64(..REGISTER_CHECK_MS);
                 tokio::time::sleep(Duration::from_millis(pause_ms)).await;
                 continue;
             }
@@ -380,14 +380,14 @@
             match kept {
                 Ok(()) if self.is_stopping() => {}
                 Ok(()) => {
-                    retry_ms = RETRY_MOST_MS;
-                    tokio::time::sleep(Duration::from_millis(RENEW_MS)).await;
+                    retry_ms = MAX_RETRY_MS;
+                    tokio::time::sleep(Duration::from_millis(RENEW_INTERVAL_MS)).await;
                 }
                 Err(Fault::LeaseEnded) => self.state.borrow_mut().registration_lease = None,
                 Err(fault) => {
                     slog::info!(self.log, "could not register or renew the registration"; "why" => %fault);
                     tokio::time::sleep(Duration::from_millis(retry_ms)).await;
-                    retry_ms = (retry_ms * 2).min(REGISTER_RETRY_MOST_MS);
+                    retry_ms = (retry_ms * 2).min(MAX_REGISTER_RETRY_MS);
                 }
             }
         }
@@ -399,7 +399,7 @@
         let now_ms = self.clock.now_ms();
         let state = self.state.borrow();
         let others = state.membership.alive().map(|member| member.card.rank());
-        let knows_others = now_ms >= REGISTER_LOOK_MS || !self.has_seeds();
+        let knows_others = now_ms >= REGISTER_CHECK_MS || !self.has_seeds();
         knows_others && watchers::registers(state.membership.my_rank(), others)
     }
 
@@ -408,7 +408,7 @@
     }
 
     pub(super) async fn register(&self) -> Result<(), Fault> {
-        let registering = self.directory.register(&self.me, LEASE_MS);
+        let registering = self.directory.register(&self.me, REGISTRATION_TTL_MS);
         let lease = self.timed("register", registering).await?;
         self.state.borrow_mut().registration_lease = Some(lease);
         Ok(())
--- a/src/gateway/control/duties.rs
+++ b/src/gateway/control/duties.rs
@@ -20,15 +20,15 @@
 use crate::clock;
 
 /// How often the lease and the duties are checked.
-const LOOK_MS: u64 = 200;
+const CHECK_INTERVAL_MS: u64 = 200;
 /// How often an instance sends its usage counts.
-const TELL_MS: u64 = 500;
+const SEND_INTERVAL_MS: u64 = 500;
 /// How often an instance without usage sends a message: its clock is still used to estimate the true time.
-const TELL_NOTHING_MS: u64 = 4_000;
+const MAX_SEND_INTERVAL_MS: u64 = 4_000;
 /// The pause after a first failed call; doubled with each further failure up to the maximum.
-const RETRY_MS: u64 = 300;
+const MIN_RETRY_MS: u64 = 300;
 /// The maximum pause after failed calls, while the platform answers none.
-const RETRY_MOST_MS: u64 = 2_000;
+const MAX_RETRY_MS: u64 = 2_000;
 
 impl Control {
     /// Periodically sends this instance's usage counts to the instances that may hold the lease.
@@ -38,14 +38,14 @@
         }
         let mut last_sent_ms = 0;
         loop {
-            tokio::time::sleep(Duration::from_millis(TELL_MS)).await;
+            tokio::time::sleep(Duration::from_millis(SEND_INTERVAL_MS)).await;
             let now_ms = self.clock.now_ms();
             let mut state = self.state.borrow_mut();
             for (organisation, began_ms) in self.shared.take_begun() {
                 state.usage_counter.count(organisation, began_ms);
             }
             let slots = state.usage_counter.told(now_ms);
-            if slots.is_empty() && now_ms < last_sent_ms + TELL_NOTHING_MS {
+            if slots.is_empty() && now_ms < last_sent_ms + MAX_SEND_INTERVAL_MS {
                 continue;
             }
             last_sent_ms = now_ms;
@@ -87,9 +87,9 @@
         let Some(duties) = self.directory.duties() else { return };
         let mut reported = BTreeSet::new();
         let mut scaler = Scaler::default();
-        let mut retry_ms = RETRY_MS;
+        let mut retry_ms = MIN_RETRY_MS;
         loop {
-            tokio::time::sleep(Duration::from_millis(LOOK_MS)).await;
+            tokio::time::sleep(Duration::from_millis(CHECK_INTERVAL_MS)).await;
             let kept = self.maintain_lease(duties).await;
             let done = match kept {
                 Ok(()) => self.perform_duties(duties, &mut reported, &mut scaler).await,
@@ -97,12 +97,12 @@
             };
             self.publish_duties();
             match done {
-                Ok(()) => retry_ms = RETRY_MS,
+                Ok(()) => retry_ms = MIN_RETRY_MS,
                 Err(fault) => {
                     slog::info!(self.log, "duty failed; retrying"; "why" => %fault);
                     self.metrics.count("duty_faults");
                     tokio::time::sleep(Duration::from_millis(retry_ms)).await;
-                    retry_ms = (retry_ms * 2).min(RETRY_MOST_MS);
+                    retry_ms = (retry_ms * 2).min(MAX_RETRY_MS);
                 }
             }
         }
--- a/src/gateway/control/exchange.rs
+++ b/src/gateway/control/exchange.rs
@@ -11,15 +11,15 @@
 use super::super::loads::{DIGEST_MS, Digest, LoadNews};
 use super::super::membership::{self, Card, GOSSIP_MS, Message, PROBE_MS, Probe, Rumor};
 use super::super::policy::watchers;
-use super::{Control, ControlState, LOST_TOLD_MS};
+use super::{Control, ControlState, LOSS_TTL_MS};
 
 /// How long updates are batched before they are sent: a burst of routed requests or lost upstreams comes
 /// within a few milliseconds.
-pub(super) const NEWS_MS: u64 = 5;
+pub(super) const BATCH_DELAY_MS: u64 = 5;
 /// The maximum size of a received datagram.
-const DATAGRAM_BYTES: usize = 32 << 10;
+const MAX_DATAGRAM_BYTES: usize = 32 << 10;
 /// How many peers of the same failure domain receive the full load in each round, in case updates were lost.
-const REFRESHED: usize = 3;
+const FULL_LOAD_FANOUT: usize = 3;
 
 impl Control {
     /// Sends the pending messages of the membership protocol.
@@ -121,7 +121,7 @@
                 self.rumors.notified().await;
             }
             // Rumors that follow at once go into the same message.
-            tokio::time::sleep(Duration::from_millis(NEWS_MS)).await;
+            tokio::time::sleep(Duration::from_millis(BATCH_DELAY_MS)).await;
             self.state.borrow_mut().membership.gossip(&mut fastrand::Rng::new());
             self.flush();
         }
@@ -131,7 +131,7 @@
     pub(super) async fn send_load_updates(self: Rc<Control>) {
         loop {
             self.shared.news.notified().await;
-            tokio::time::sleep(Duration::from_millis(NEWS_MS)).await;
+            tokio::time::sleep(Duration::from_millis(BATCH_DELAY_MS)).await;
             let now_ms = self.clock.now_ms();
             let own = self.shared.own();
             let mut state = self.state.borrow_mut();
@@ -188,7 +188,7 @@
         let mut near = state.placing_peers.clone();
         drop(state);
         fastrand::shuffle(&mut near);
-        near.truncate(REFRESHED);
+        near.truncate(FULL_LOAD_FANOUT);
         self.send(&Message::Loads(news), &near);
     }
 
@@ -214,7 +214,7 @@
     }
 
     pub(super) async fn receive_messages(self: Rc<Control>, socket: Rc<UdpSocket>) {
-        let mut buffer = vec![0; DATAGRAM_BYTES];
+        let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         loop {
             let Ok((length, from)) = socket.recv_from(&mut buffer).await else {
                 tokio::time::sleep(Duration::from_millis(GOSSIP_MS)).await;
@@ -320,7 +320,7 @@
         if is_known {
             return;
         }
-        state.lost.insert(Arc::clone(&id), now_ms + LOST_TOLD_MS);
+        state.lost.insert(Arc::clone(&id), now_ms + LOSS_TTL_MS);
         if let Some(upstream) = state.fleet.upstreams.get(&id).cloned() {
             state.quarantine.note_end(&upstream, now_ms);
         }
--- a/src/gateway/control/knowledge.rs
+++ b/src/gateway/control/knowledge.rs
@@ -28,22 +28,22 @@
 
 /// How long an instance that watches the directory waits before it fetches a newer version from a peer: the
 /// directory's own answer is usually under way.
-const BEHIND_MS: u64 = 300;
+const DIRECTORY_ANSWER_DELAY_MS: u64 = 300;
 /// How long a directory watch may lag behind a peer before it is restarted as broken.
-const BROKEN_WATCH_MS: u64 = 1_000;
+const MAX_WATCH_LAG_MS: u64 = 1_000;
 /// The timeout of one request to a peer: a page or a configuration is about 50 KB.
 pub const FETCH_TIMEOUT_MS: u64 = 1_500;
 /// After how many consecutive failed requests a list fetch is given up.
-const FETCH_TRIES: u32 = 4;
+const MAX_FETCH_FAILURES: u32 = 4;
 /// The pause after a failed request: the peer may have been busy with others.
-const FETCH_PAUSE_MS: u64 = 20;
+const FETCH_FAILURE_PAUSE_MS: u64 = 20;
 /// The minimum pause after a fetch that was given up.
-const FETCH_RETRY_MS: u64 = 100;
+const MIN_FETCH_RETRY_MS: u64 = 100;
 /// How long after its start an instance without a list asks those that should hold it by their rank, if no
 /// peer reported to hold it.
-const LIST_OVERDUE_MS: u64 = 3_000;
+const LIST_HOLDER_REPORT_TIMEOUT_MS: u64 = 3_000;
 /// How many reported holders of the full list are remembered.
-const MOST_HOLDERS_TOLD: usize = 8;
+const MAX_REPORTED_HOLDERS: usize = 8;
 
 /// The path at which peers fetch the configuration.
 pub const CONFIG_PATH: &str = "/peer/config";
@@ -151,10 +151,10 @@
         }
         let since_ms = *state.behind_since_ms.get_or_insert(now_ms);
         let behind_ms = now_ms.saturating_sub(since_ms);
-        if state.is_watching && behind_ms < BEHIND_MS && state.has_fleet {
+        if state.is_watching && behind_ms < DIRECTORY_ANSWER_DELAY_MS && state.has_fleet {
             return;
         }
-        if state.is_watching && behind_ms >= BROKEN_WATCH_MS {
+        if state.is_watching && behind_ms >= MAX_WATCH_LAG_MS {
             state.behind_since_ms = None;
             self.watch_restart.notify_one();
         }
@@ -218,12 +218,12 @@
     pub(super) async fn fetch_list(&self, mut addr: SocketAddr) -> bool {
         let mut pages = Pages::default();
         let mut failed = 0;
-        while failed < FETCH_TRIES {
+        while failed < MAX_FETCH_FAILURES {
             let asked = self.list_request(&pages);
             let Some(listed) = ask::<_, Listed>(addr, LIST_PATH, &asked).await else {
                 self.metrics.count("peer_fetches_failed");
                 failed += 1;
-                tokio::time::sleep(Duration::from_millis(FETCH_PAUSE_MS)).await;
+                tokio::time::sleep(Duration::from_millis(FETCH_FAILURE_PAUSE_MS)).await;
                 addr = self.alternative_source(addr);
                 continue;
             };
@@ -302,7 +302,7 @@
             return told.or_else(by_rank);
         }
         // Before any instance has the list, requests would only slow down those that are reading it.
-        let is_overdue = now_ms >= LIST_OVERDUE_MS;
+        let is_overdue = now_ms >= LIST_HOLDER_REPORT_TIMEOUT_MS;
         told.or_else(|| self.fetch_source(state, holds_newer))
             .or_else(|| by_rank().filter(|_| is_overdue))
     }
@@ -312,7 +312,7 @@
         if !state.reported_list_holders.contains(&addr) {
             state.reported_list_holders.push_back(addr);
         }
-        if state.reported_list_holders.len() > MOST_HOLDERS_TOLD {
+        if state.reported_list_holders.len() > MAX_REPORTED_HOLDERS {
             state.reported_list_holders.pop_front();
         }
     }
@@ -382,7 +382,7 @@
 
 /// The pause after a failed fetch, randomized so that instances that wait for the same data spread out.
 fn retry_pause_ms() -> u64 {
-    fastrand::u64(FETCH_RETRY_MS..2 * FETCH_RETRY_MS)
+    fastrand::u64(MIN_FETCH_RETRY_MS..2 * MIN_FETCH_RETRY_MS)
 }
 
 /// The pages of a list that is being fetched.
--- a/src/gateway/control/permits.rs
+++ b/src/gateway/control/permits.rs
@@ -12,7 +12,7 @@
 
 /// How long an instance that fell silent is assumed to be possibly alive beyond a network partition, where
 /// another owner grants permits for the same rate limit.
-const SILENT_COUNTS_MS: u64 = 10_000;
+const SILENT_MAYBE_ALIVE_MS: u64 = 10_000;
 
 impl Control {
     /// Answers a permit request of this instance, or sends it to the owner of the bucket.
@@ -50,7 +50,7 @@
     fn grant(&self, state: &mut ControlState, upstream: &Arc<str>, rate: Rate) -> Permit {
         let now_ms = self.clock.now_ms();
         let alive = state.membership.alive().count() + 1;
-        let silent = state.membership.silent_since(now_ms.saturating_sub(SILENT_COUNTS_MS));
+        let silent = state.membership.silent_since(now_ms.saturating_sub(SILENT_MAYBE_ALIVE_MS));
         let permit = state.limiter.ask(upstream, rate, Liveness { alive, silent }, now_ms);
         self.metrics.count(match permit {
             Permit::Granted => "permits_granted",
--- a/src/gateway/control/quarantine.rs
+++ b/src/gateway/control/quarantine.rs
@@ -14,8 +14,8 @@
 
 /// How many attempts are made to store a quarantine record, and the pause between them: outages of the
 /// directory last for seconds, and peers have the record meanwhile.
-const REMEMBER_TRIES: u32 = 30;
-const REMEMBER_PAUSE_MS: u64 = 1_000;
+const MAX_STORE_ATTEMPTS: u32 = 30;
+const STORE_RETRY_PAUSE_MS: u64 = 1_000;
 
 impl Control {
     /// Collects reported crashes, and judges each after a delay in which peers report other upstreams that
@@ -116,7 +116,7 @@
     fn store_record(self: &Rc<Control>, fingerprint: Fingerprint) {
         let control = Rc::clone(self);
         tokio::task::spawn_local(async move {
-            for _ in 0..REMEMBER_TRIES {
+            for _ in 0..MAX_STORE_ATTEMPTS {
                 let now_ms = control.clock.now_ms();
                 let record = control.state.borrow().quarantine.record(fingerprint, now_ms);
                 let Some(record) = record else { return };
@@ -127,7 +127,7 @@
                         "fingerprint" => %fingerprint, "why" => %fault)
                     }
                 }
-                tokio::time::sleep(Duration::from_millis(REMEMBER_PAUSE_MS)).await;
+                tokio::time::sleep(Duration::from_millis(STORE_RETRY_PAUSE_MS)).await;
             }
         });
     }
--- a/src/gateway/control/shares.rs
+++ b/src/gateway/control/shares.rs
@@ -16,14 +16,14 @@
 /// How long an upstream that was looked up by its id is published: long enough to send a request to it.
 const TEMPORARY_UPSTREAM_TTL_MS: u64 = 1_000;
 /// How long an instance keeps a wider share than it needs after it ran out of upstreams.
-const WIDE_MS: u64 = 30_000;
+const MIN_WIDENED_MS: u64 = 30_000;
 /// How long after its start an instance knows nearly all members. While it knows only a few, it would consider
 /// its share too narrow, or itself one of those that hold all upstreams, and all instances would fetch at
 /// once.
-const MEMBERS_KNOWN_MS: u64 = 5_000;
+const MEMBERSHIP_KNOWN_MS: u64 = 5_000;
 /// How long an instance's rank must not require it to hold all upstreams before it narrows its share: ranks
 /// change while many instances start or stop.
-const NARROW_AFTER_MS: u64 = 5_000;
+const NARROW_DELAY_MS: u64 = 5_000;
 
 impl Control {
     /// Adopts the set of large services from an instance that holds all upstreams: narrows services that became
@@ -73,17 +73,17 @@
         let share = state.held_part.share;
         if watchers::keeps_all(before_me) {
             state.can_narrow_since_ms = None;
-            if !share.is_all() && now_ms >= MEMBERS_KNOWN_MS {
+            if !share.is_all() && now_ms >= MEMBERSHIP_KNOWN_MS {
                 state.wanted_share = Some(Share::ALL);
             }
             return;
         }
-        if now_ms >= MEMBERS_KNOWN_MS && subset::is_too_narrow(share, instances) {
+        if now_ms >= MEMBERSHIP_KNOWN_MS && subset::is_too_narrow(share, instances) {
             state.wanted_share = Some(share.wider());
             return;
         }
         let since_ms = *state.can_narrow_since_ms.get_or_insert(now_ms);
-        let is_settled = watchers::is_far_behind(before_me) || now_ms >= since_ms + NARROW_AFTER_MS;
+        let is_settled = watchers::is_far_behind(before_me) || now_ms >= since_ms + NARROW_DELAY_MS;
         let suitable = Control::suitable_share(&state);
         let is_wide = suitable > share && (share.is_all() || suitable > share.narrower());
         if is_wide && is_settled && !state.is_watching && now_ms >= state.widened_until_ms {
@@ -134,7 +134,7 @@
     pub(super) fn widen_share(self: &Rc<Control>) {
         let now_ms = self.clock.now_ms();
         let mut state = self.state.borrow_mut();
-        state.widened_until_ms = now_ms + WIDE_MS;
+        state.widened_until_ms = now_ms + MIN_WIDENED_MS;
         if state.held_part.share.is_all() || state.wanted_share.is_some() {
             return;
         }
--- a/src/gateway/control/successors.rs
+++ b/src/gateway/control/successors.rs
@@ -17,9 +17,9 @@
 use super::Control;
 
 /// The interval of the search: an engine is back about 1.2 s after its crash.
-const LOOK_MS: u64 = 400;
+const SEARCH_INTERVAL_MS: u64 = 400;
 /// How many instances of the fleet search: each request is billed, and one or two of them may be cut off.
-const SEEKERS: usize = 3;
+const MAX_SEARCHERS: usize = 3;
 /// The timeout of a request to a restarted engine: it is idle and answers fast.
 const ANSWER_TIMEOUT_MS: u64 = 300;
 
@@ -27,7 +27,7 @@
     pub(super) async fn search_for_engines(self: Rc<Control>) {
         let mut sought = Sought::default();
         loop {
-            tokio::time::sleep(Duration::from_millis(LOOK_MS)).await;
+            tokio::time::sleep(Duration::from_millis(SEARCH_INTERVAL_MS)).await;
             self.update_search(&mut sought);
             if !self.is_searcher() {
                 continue;
@@ -50,7 +50,7 @@
         }
         let alive = state.membership.alive().map(|member| &member.card.registration.id);
         let before = alive.filter(|id| **id < self.me.id);
-        before.count() < SEEKERS
+        before.count() < MAX_SEARCHERS
     }
 
     fn update_search(&self, sought: &mut Sought) {
