--- a/src/gateway/control.rs
+++ b/src/gateway/control.rs
@@ -499,9 +499,9 @@
             domain: Arc::clone(&registration.domain),
         };
         let fronts = active.map(front).collect();
-        let near = state.membership.alive().map(|member| &member.card).chain([me]);
-        let near = near.filter(|card| card.registration.domain == self.me.domain);
-        let placing = active::active(near.map(|card| (card.rank(), &card.registration)));
+        let same_domain = state.membership.alive().map(|member| &member.card).chain([me]);
+        let same_domain = same_domain.filter(|card| card.registration.domain == self.me.domain);
+        let placing = active::active(same_domain.map(|card| (card.rank(), &card.registration)));
         let is_placing = placing.iter().any(|registration| registration.id == self.me.id);
         let others = placing.into_iter().filter(|registration| registration.id != self.me.id);
         let placing_peers = others.map(|registration| registration.peer_addr).collect();
--- a/src/gateway/control/changes.rs
+++ b/src/gateway/control/changes.rs
@@ -40,28 +40,30 @@
             tokio::time::sleep(Duration::from_millis(BATCH_DELAY_MS)).await;
             let mut state = self.state.borrow_mut();
             let versions = Control::versions(&state);
-            let told = std::mem::replace(&mut state.announced_versions, versions);
-            let is_config_new = told.config != versions.config;
-            let is_list_new = told.fleet != versions.fleet && state.held_part.share.is_all();
+            let announced = std::mem::replace(&mut state.announced_versions, versions);
+            let is_config_new = announced.config != versions.config;
+            let is_list_new = announced.fleet != versions.fleet && state.held_part.share.is_all();
             if !is_config_new && !is_list_new {
                 continue;
             }
             let since = state.pushed_revisions.front().copied().unwrap_or(0);
             let changes = self.changes_message(&mut state);
             // Peers that hold only a part of the list receive the changes of that part, below.
-            let hears = |card: &Card| is_config_new || card.share.is_all();
+            let wants_update = |card: &Card| is_config_new || card.share.is_all();
             let alive = state.membership.alive().map(|member| &member.card);
-            let near = alive.filter(|card| hears(card)).map(|card| &card.registration);
-            let near = near.filter(|other| other.domain == self.me.domain);
-            let mut addrs: Vec<SocketAddr> = near.map(|other| other.peer_addr).collect();
+            let same_domain =
+                alive.filter(|card| wants_update(card)).map(|card| &card.registration);
+            let same_domain = same_domain.filter(|other| other.domain == self.me.domain);
+            let mut addrs: Vec<SocketAddr> = same_domain.map(|other| other.peer_addr).collect();
             fastrand::shuffle(&mut addrs);
             addrs.truncate(SAME_DOMAIN_FANOUT);
-            let mut far = self.one_matching_peer_per_other_domain(&state, hears);
+            let mut other_domains = self.one_matching_peer_per_other_domain(&state, wants_update);
             if !std::mem::take(&mut state.is_update_from_directory) {
-                fastrand::shuffle(&mut far);
-                far.truncate(usize::from(fastrand::u32(..OTHER_DOMAIN_FORWARD_ONE_IN) == 0));
+                fastrand::shuffle(&mut other_domains);
+                other_domains
+                    .truncate(usize::from(fastrand::u32(..OTHER_DOMAIN_FORWARD_ONE_IN) == 0));
             }
-            addrs.extend(far);
+            addrs.extend(other_domains);
             let parts =
                 if is_list_new { self.part_changes_since(&state, since) } else { Vec::new() };
             drop(state);
@@ -76,7 +78,7 @@
     fn changes_message(&self, state: &mut ControlState) -> Changes {
         let Versions { config, fleet } = Control::versions(state);
         let since = state.pushed_revisions.front().copied().unwrap_or(0);
-        let nothing = Changes {
+        let without_changes = Changes {
             from: Arc::clone(&self.me.id),
             config,
             since: u64::MAX,
@@ -85,14 +87,18 @@
             part: None,
         };
         if !state.held_part.share.is_all() {
-            return nothing;
+            return without_changes;
         }
         state.pushed_revisions.push_back(fleet);
         if state.pushed_revisions.len() > PUSHES_PER_CHANGE {
             state.pushed_revisions.pop_front();
         }
         let delta = state.fleet.since(since);
-        if is_short(&delta) { Changes { since, fleet: delta, ..nothing } } else { nothing }
+        if fits_message(&delta) {
+            Changes { since, fleet: delta, ..without_changes }
+        } else {
+            without_changes
+        }
     }
 
     /// The changes since a revision for each peer that holds only a part of the list, if this instance is one
@@ -145,13 +151,13 @@
         fleet: Delta,
         part: Part,
     ) -> Changes {
-        let is_short = is_short(&fleet);
-        let nothing = Delta { revision: fleet.revision, ..Delta::default() };
+        let fits_message = fits_message(&fleet);
+        let without_changes = Delta { revision: fleet.revision, ..Delta::default() };
         Changes {
             from: Arc::clone(&self.me.id),
             config: Control::versions(state).config,
-            since: if is_short { since } else { u64::MAX },
-            fleet: if is_short { fleet } else { nothing },
+            since: if fits_message { since } else { u64::MAX },
+            fleet: if fits_message { fleet } else { without_changes },
             holder: None,
             part: Some(part),
         }
@@ -168,7 +174,7 @@
             if !has_part || Control::has_working_watch(&state) {
                 continue;
             }
-            let ask = ChangesAsk {
+            let request = ChangesAsk {
                 id: Arc::clone(&self.me.id),
                 versions: Control::versions(&state),
                 share: state.held_part.share,
@@ -176,21 +182,22 @@
             let holders: Vec<SocketAddr> = Control::list_holders(&state).collect();
             drop(state);
             if let Some(addr) = fastrand::choice(holders) {
-                self.send(&Message::AskChanges(ask), &[addr]);
+                self.send(&Message::AskChanges(request), &[addr]);
             }
         }
     }
 
-    pub(super) fn handle_changes_request(&self, ask: &ChangesAsk, from: SocketAddr) {
+    pub(super) fn handle_changes_request(&self, request: &ChangesAsk, from: SocketAddr) {
         let state = self.state.borrow();
         let versions = Control::versions(&state);
-        let is_newer = versions.config > ask.versions.config || versions.fleet > ask.versions.fleet;
+        let is_newer =
+            versions.config > request.versions.config || versions.fleet > request.versions.fleet;
         if !state.held_part.share.is_all() || !is_newer {
             return;
         }
-        let part = Part { share: ask.share, large: state.held_part.large.clone() };
-        let since = ask.versions.fleet;
-        let fleet = state.fleet.since_for(since, shares::holds(&ask.id, &part));
+        let part = Part { share: request.share, large: state.held_part.large.clone() };
+        let since = request.versions.fleet;
+        let fleet = state.fleet.since_for(since, shares::holds(&request.id, &part));
         let changes = self.part_changes_message(&state, since, fleet, part);
         drop(state);
         self.send(&Message::Changes(changes), &[from]);
@@ -249,7 +256,7 @@
 }
 
 /// Whether changes fit into one message.
-fn is_short(delta: &Delta) -> bool {
-    let is_short = rmp_serde::to_vec(delta).is_ok_and(|bytes| bytes.len() <= MAX_PUSHED_BYTES);
-    is_short && !delta.is_whole
+fn fits_message(delta: &Delta) -> bool {
+    let fits_message = rmp_serde::to_vec(delta).is_ok_and(|bytes| bytes.len() <= MAX_PUSHED_BYTES);
+    fits_message && !delta.is_whole
 }
--- a/src/gateway/control/duties.rs
+++ b/src/gateway/control/duties.rs
@@ -49,7 +49,7 @@
                 continue;
             }
             last_sent_ms = now_ms;
-            let news = UsageNews {
+            let update = UsageNews {
                 id: self.me.id.clone(),
                 incarnation: self.me.incarnation,
                 steady_ms: now_ms,
@@ -57,15 +57,15 @@
                 slots,
             };
             let addrs = self.duty_candidates(&state);
-            state.usage.hear(news.clone(), now_ms);
+            state.usage.hear(update.clone(), now_ms);
             drop(state);
-            self.send(&Message::Usage(news), &addrs);
+            self.send(&Message::Usage(update), &addrs);
         }
     }
 
-    pub(super) fn handle_usage_update(&self, news: UsageNews) {
+    pub(super) fn handle_usage_update(&self, update: UsageNews) {
         let now_ms = self.clock.now_ms();
-        self.state.borrow_mut().usage.hear(news, now_ms);
+        self.state.borrow_mut().usage.hear(update, now_ms);
     }
 
     /// The other instances that may hold the lease.
--- a/src/gateway/control/exchange.rs
+++ b/src/gateway/control/exchange.rs
@@ -42,8 +42,8 @@
     /// The live peers in this failure domain.
     pub(super) fn domain_peers(&self, state: &ControlState) -> Vec<SocketAddr> {
         let alive = state.membership.alive().map(|member| &member.card.registration);
-        let near = alive.filter(|other| other.domain == self.me.domain);
-        near.map(|other| other.peer_addr).collect()
+        let same_domain = alive.filter(|other| other.domain == self.me.domain);
+        same_domain.map(|other| other.peer_addr).collect()
     }
 
     /// One random live peer of each other failure domain.
@@ -59,12 +59,12 @@
     ) -> Vec<SocketAddr> {
         let cards = state.membership.alive().map(|member| &member.card);
         let alive = cards.filter(|card| holds(card)).map(|card| &card.registration);
-        let mut far: Vec<&Registration> =
+        let mut other_domains: Vec<&Registration> =
             alive.filter(|other| other.domain != self.me.domain).collect();
-        fastrand::shuffle(&mut far);
-        far.sort_by(|a, b| a.domain.cmp(&b.domain));
-        far.dedup_by(|a, b| a.domain == b.domain);
-        far.into_iter().map(|other| other.peer_addr).collect()
+        fastrand::shuffle(&mut other_domains);
+        other_domains.sort_by(|a, b| a.domain.cmp(&b.domain));
+        other_domains.dedup_by(|a, b| a.domain == b.domain);
+        other_domains.into_iter().map(|other| other.peer_addr).collect()
     }
 
     /// Runs the periodic round: probes peers, repeats this instance's state to a few of them, and checks the
@@ -142,11 +142,11 @@
                 self.record_lost(&mut state, id, now_ms);
             }
             let sent = change.sent;
-            let news = self.empty_load_update(&mut state);
-            let news = LoadNews { held: change.held, sent, places: change.places, ..news };
-            let near = state.placing_peers.clone();
+            let update = self.empty_load_update(&mut state);
+            let update = LoadNews { held: change.held, sent, places: change.places, ..update };
+            let placing_peers = state.placing_peers.clone();
             drop(state);
-            self.send(&Message::Loads(news), &near);
+            self.send(&Message::Loads(update), &placing_peers);
         }
     }
 
@@ -171,25 +171,25 @@
         let own = self.shared.own();
         let mut state = self.state.borrow_mut();
         let sent_by_ended = state.loads.own_ended(now_ms);
-        let news = LoadNews {
+        let update = LoadNews {
             is_whole: true,
             held: own.held,
             sent: Some(own.sent),
             sent_by_ended,
             ..self.empty_load_update(&mut state)
         };
-        let says_nothing = news.held.is_empty()
-            && news.sent_by_ended.is_empty()
-            && news.sent.iter().flatten().all(|sent| sent.requests + sent.repeats == 0);
+        let says_nothing = update.held.is_empty()
+            && update.sent_by_ended.is_empty()
+            && update.sent.iter().flatten().all(|sent| sent.requests + sent.repeats == 0);
         if says_nothing && std::mem::replace(&mut state.has_reported_no_load, true) {
             return;
         }
         state.has_reported_no_load = says_nothing;
-        let mut near = state.placing_peers.clone();
+        let mut placing_peers = state.placing_peers.clone();
         drop(state);
-        fastrand::shuffle(&mut near);
-        near.truncate(FULL_LOAD_FANOUT);
-        self.send(&Message::Loads(news), &near);
+        fastrand::shuffle(&mut placing_peers);
+        placing_peers.truncate(FULL_LOAD_FANOUT);
+        self.send(&Message::Loads(update), &placing_peers);
     }
 
     /// Sends other failure domains a digest of this domain's load. The pause grows with the instances of this
@@ -206,10 +206,10 @@
                 // This instance doesn't receive the load of the others.
                 continue;
             }
-            let far = self.one_peer_per_other_domain(&state);
+            let other_domains = self.one_peer_per_other_domain(&state);
             let digest = state.loads.digest(&own, now_ms, &mut fastrand::Rng::new());
             drop(state);
-            self.send(&Message::Digest(digest), &far);
+            self.send(&Message::Digest(digest), &other_domains);
         }
     }
 
@@ -260,16 +260,16 @@
                 self.signal_membership_changes();
                 self.dirty.notify_one();
             }
-            Message::Loads(news) => self.handle_load_update(news, now_ms),
+            Message::Loads(update) => self.handle_load_update(update, now_ms),
             Message::Digest(digest) => self.handle_digest(digest, now_ms),
             Message::Changes(changes) => self.handle_changes(changes, from, now_ms),
-            Message::AskChanges(ask) => self.handle_changes_request(&ask, from),
+            Message::AskChanges(request) => self.handle_changes_request(&request, from),
             Message::AskUpstream(id) => self.handle_upstream_request(&id, from),
             Message::Upstream(upstream) => self.add_temporary_upstream(upstream),
-            Message::AskPermit(ask) => self.handle_permit_request(ask, from),
+            Message::AskPermit(request) => self.handle_permit_request(request, from),
             Message::Permit(number, permit) => self.handle_permit_answer(number, permit),
-            Message::Signals(news) => self.handle_signal_update(news),
-            Message::Usage(news) => self.handle_usage_update(news),
+            Message::Signals(update) => self.handle_signal_update(update),
+            Message::Usage(update) => self.handle_usage_update(update),
         }
     }
 
@@ -329,13 +329,13 @@
         self.dirty.notify_one();
     }
 
-    fn handle_load_update(&self, news: LoadNews, now_ms: u64) {
+    fn handle_load_update(&self, update: LoadNews, now_ms: u64) {
         let mut state = self.state.borrow_mut();
-        let sender = state.membership.get(&news.id);
+        let sender = state.membership.get(&update.id);
         let is_here = sender.is_some_and(|sender| {
             sender.is_alive() && sender.card.registration.domain == self.me.domain
         });
-        if is_here && state.loads.hear(news, now_ms) {
+        if is_here && state.loads.hear(update, now_ms) {
             self.dirty.notify_one();
         }
     }
@@ -347,11 +347,11 @@
         if !state.loads.hear_digest(digest, now_ms) {
             return;
         }
-        let near = state.placing_peers.clone();
+        let placing_peers = state.placing_peers.clone();
         drop(state);
         self.dirty.notify_one();
         if let Some(digest) = passed_on {
-            self.send(&Message::Digest(digest), &near);
+            self.send(&Message::Digest(digest), &placing_peers);
         }
     }
 }
--- a/src/gateway/control/knowledge.rs
+++ b/src/gateway/control/knowledge.rs
@@ -52,14 +52,14 @@
 
 /// A request for the configuration, if it is newer than the known version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ConfigAsk {
+pub struct ConfigRequest {
     /// The version that the sender knows.
     pub known: u64,
 }
 
 /// A request for the upstream list, for a part of it, or for its changes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ListAsk {
+pub struct ListRequest {
     /// The id of the sender.
     pub id: Arc<str>,
     /// The list revision that the sender knows, or 0.
@@ -70,18 +70,18 @@
     pub after: Arc<str>,
 }
 
-/// The answer to a [`ListAsk`].
+/// The answer to a [`ListRequest`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Listed {
+pub struct ListResponse {
     /// Which part of the list the content covers.
     pub part: Part,
     /// The upstreams.
-    pub content: Content,
+    pub content: ListContent,
 }
 
-/// The content of a [`Listed`].
+/// The content of a [`ListResponse`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Content {
+pub enum ListContent {
     /// The changes since the known revision.
     Changes(Delta),
     /// A page of the list.
@@ -89,14 +89,14 @@
 }
 
 /// Sends a request to a peer. Returns `None` if it fails, is refused or times out.
-async fn ask<Q: Serialize, A: DeserializeOwned>(
+async fn send_request<Q: Serialize, A: DeserializeOwned>(
     addr: SocketAddr,
     path: &str,
-    ask: &Q,
+    message: &Q,
 ) -> Option<A> {
     let exchange = async {
         let mut channel = Channel::open(addr, FETCH_TIMEOUT_MS).await.ok()?;
-        let body = Full::new(Bytes::from(rmp_serde::to_vec(ask).ok()?));
+        let body = Full::new(Bytes::from(rmp_serde::to_vec(message).ok()?));
         let request = Request::post(path).header(HOST, addr.to_string()).body(body).ok()?;
         let response = channel.send(request).await.ok()?;
         let is_answer = response.status().is_success();
@@ -109,13 +109,13 @@
 
 impl Control {
     /// Answers a peer's request for the configuration; `None` if this instance has no newer one.
-    pub fn config_for(&self, asked: ConfigAsk) -> Option<Arc<Config>> {
+    pub fn config_for(&self, request: ConfigRequest) -> Option<Arc<Config>> {
         let config = self.state.borrow().config.clone();
-        config.filter(|config| config.version > asked.known)
+        config.filter(|config| config.version > request.known)
     }
 
     /// Answers a peer's request for the upstream list; `None` if this instance doesn't hold the full list.
-    pub fn list_for(&self, asked: &ListAsk) -> Option<Listed> {
+    pub fn list_for(&self, request: &ListRequest) -> Option<ListResponse> {
         let state = self.state.borrow();
         if !state.has_fleet || !state.held_part.share.is_all() {
             return None;
@@ -124,17 +124,17 @@
             let services = state.fleet.upstreams.values().map(|upstream| &upstream.service);
             services.filter(|service| state.held_part.large.contains(*service))
         };
-        let share = asked.share.unwrap_or_else(|| subset::first_share(large()));
+        let share = request.share.unwrap_or_else(|| subset::first_share(large()));
         let part = Part { share, large: state.held_part.large.clone() };
-        let holds = shares::holds(&asked.id, &part);
-        if asked.since > 0 && asked.after.is_empty() {
-            let delta = state.fleet.since_for(asked.since, &holds);
+        let holds = shares::holds(&request.id, &part);
+        if request.since > 0 && request.after.is_empty() {
+            let delta = state.fleet.since_for(request.since, &holds);
             if !delta.is_whole {
-                return Some(Listed { part, content: Content::Changes(delta) });
+                return Some(ListResponse { part, content: ListContent::Changes(delta) });
             }
         }
-        let content = Content::Page(state.fleet.page(&asked.after, holds));
-        Some(Listed { part, content })
+        let content = ListContent::Page(state.fleet.page(&request.after, holds));
+        Some(ListResponse { part, content })
     }
 
     /// Fetches newer versions from peers: at once if this instance doesn't watch the directory, else after a
@@ -198,8 +198,9 @@
     /// Fetches the configuration from a peer. Returns whether the peer had a newer one.
     pub(super) async fn fetch_config(&self, addr: SocketAddr) -> bool {
         let known = Control::versions(&self.state.borrow()).config;
-        let asked: Option<Option<Arc<Config>>> = ask(addr, CONFIG_PATH, &ConfigAsk { known }).await;
-        match asked {
+        let response: Option<Option<Arc<Config>>> =
+            send_request(addr, CONFIG_PATH, &ConfigRequest { known }).await;
+        match response {
             Some(Some(config)) => {
                 self.apply_config(config, "peer");
                 self.publish();
@@ -219,8 +220,9 @@
         let mut pages = Pages::default();
         let mut failed = 0;
         while failed < MAX_FETCH_FAILURES {
-            let asked = self.list_request(&pages);
-            let Some(listed) = ask::<_, Listed>(addr, LIST_PATH, &asked).await else {
+            let request = self.list_request(&pages);
+            let Some(response) = send_request::<_, ListResponse>(addr, LIST_PATH, &request).await
+            else {
                 self.metrics.count("peer_fetches_failed");
                 failed += 1;
                 tokio::time::sleep(Duration::from_millis(FETCH_FAILURE_PAUSE_MS)).await;
@@ -228,13 +230,13 @@
                 continue;
             };
             failed = 0;
-            match listed.content {
-                Content::Changes(delta) => {
-                    self.apply_changes_since(asked.since, delta, &listed.part, addr);
+            match response.content {
+                ListContent::Changes(delta) => {
+                    self.apply_changes_since(request.since, delta, &response.part, addr);
                     return true;
                 }
-                Content::Page(page) => {
-                    if pages.add(listed.part, page) {
+                ListContent::Page(page) => {
+                    if pages.add(response.part, page) {
                         self.apply_pages(pages, addr);
                         return true;
                     }
@@ -244,11 +246,11 @@
         false
     }
 
-    fn list_request(&self, pages: &Pages) -> ListAsk {
+    fn list_request(&self, pages: &Pages) -> ListRequest {
         let state = self.state.borrow();
         let since = if state.wanted_share.is_some() { 0 } else { Control::versions(&state).fleet };
         let wanted = state.wanted_share.or(state.has_fleet.then_some(state.held_part.share));
-        ListAsk {
+        ListRequest {
             id: Arc::clone(&self.me.id),
             since,
             share: pages.part.as_ref().map(|part| part.share).or(wanted),
@@ -259,8 +261,8 @@
     /// A peer other than `failed` that may hold the full list; `failed` if there is none.
     fn alternative_source(&self, failed: SocketAddr) -> SocketAddr {
         let state = self.state.borrow();
-        let told = state.reported_list_holders.iter().copied();
-        let all = told.chain(Control::list_holders(&state));
+        let reported = state.reported_list_holders.iter().copied();
+        let all = reported.chain(Control::list_holders(&state));
         let others: Vec<SocketAddr> = all.filter(|addr| *addr != failed).collect();
         fastrand::choice(others).unwrap_or(failed)
     }
@@ -271,12 +273,14 @@
         state: &ControlState,
         holds: impl Fn(&Member) -> bool,
     ) -> Option<SocketAddr> {
-        let fitting = state.membership.alive().filter(|member| holds(member));
-        let fitting: Vec<&Registration> = fitting.map(|member| &member.card.registration).collect();
-        let is_near = |other: &&&Registration| other.domain == self.me.domain;
-        let near: Vec<&Registration> = fitting.iter().filter(is_near).copied().collect();
-        let some = if near.is_empty() { fitting } else { near };
-        fastrand::choice(some).map(|other| other.peer_addr)
+        let candidates = state.membership.alive().filter(|member| holds(member));
+        let candidates: Vec<&Registration> =
+            candidates.map(|member| &member.card.registration).collect();
+        let is_same_domain = |other: &&&Registration| other.domain == self.me.domain;
+        let same_domain: Vec<&Registration> =
+            candidates.iter().filter(is_same_domain).copied().collect();
+        let preferred = if same_domain.is_empty() { candidates } else { same_domain };
+        fastrand::choice(preferred).map(|other| other.peer_addr)
     }
 
     /// The peer to fetch the list from, if this instance has none, needs another share, missed changes, or
@@ -289,21 +293,22 @@
         let known = Control::versions(state).fleet;
         let holds_newer =
             |member: &Member| member.card.share.is_all() && member.versions.fleet > known;
-        let is_told = !state.held_part.share.is_all();
-        if state.has_fleet && state.wanted_share.is_none() && !is_told {
+        let holds_only_part = !state.held_part.share.is_all();
+        if state.has_fleet && state.wanted_share.is_none() && !holds_only_part {
             return self.fetch_source(state, holds_newer);
         }
         if state.has_fleet && state.wanted_share.is_none() && !state.has_missed_changes {
             return None;
         }
-        let told = fastrand::choice(&state.reported_list_holders).copied();
+        let reported = fastrand::choice(&state.reported_list_holders).copied();
         let by_rank = || fastrand::choice(Control::list_holders(state).collect::<Vec<_>>());
         if state.has_fleet {
-            return told.or_else(by_rank);
+            return reported.or_else(by_rank);
         }
         // Before any instance has the list, requests would only slow down those that are reading it.
         let is_overdue = now_ms >= LIST_HOLDER_REPORT_TIMEOUT_MS;
-        told.or_else(|| self.fetch_source(state, holds_newer))
+        reported
+            .or_else(|| self.fetch_source(state, holds_newer))
             .or_else(|| by_rank().filter(|_| is_overdue))
     }
 
--- a/src/gateway/control/permits.rs
+++ b/src/gateway/control/permits.rs
@@ -25,7 +25,7 @@
             let _ = answer.send(permit);
             return;
         };
-        state.pending_permits.retain(|_, waiting| !waiting.is_closed());
+        state.pending_permits.retain(|_, answer| !answer.is_closed());
         state.last_permit_number += 1;
         let number = state.last_permit_number;
         state.pending_permits.insert(number, answer);
@@ -35,13 +35,13 @@
 
     /// The address of the owner of an upstream's bucket; `None` if this instance is the owner.
     fn bucket_owner(&self, state: &ControlState, upstream: &str) -> Option<SocketAddr> {
-        let takes_part = |phase: Phase| phase != Phase::Starting;
+        let is_eligible = |phase: Phase| phase != Phase::Starting;
         let others = state
             .membership
             .alive()
-            .filter(|member| member.standing == Standing::Alive && takes_part(member.card.phase));
+            .filter(|member| member.standing == Standing::Alive && is_eligible(member.card.phase));
         let ids = others.map(|member| &member.card.registration.id);
-        let me = takes_part(state.phase).then_some(&self.me.id);
+        let me = is_eligible(state.phase).then_some(&self.me.id);
         let owner = rate_limit::bucket_owner(upstream, ids.chain(me))?;
         let owner = state.membership.get(owner)?;
         Some(owner.card.registration.peer_addr)
@@ -59,9 +59,9 @@
         permit
     }
 
-    pub(super) fn handle_permit_request(&self, ask: PermitAsk, from: SocketAddr) {
-        let permit = self.grant(&mut self.state.borrow_mut(), &ask.upstream, ask.rate);
-        self.send(&Message::Permit(ask.number, permit), &[from]);
+    pub(super) fn handle_permit_request(&self, request: PermitAsk, from: SocketAddr) {
+        let permit = self.grant(&mut self.state.borrow_mut(), &request.upstream, request.rate);
+        self.send(&Message::Permit(request.number, permit), &[from]);
     }
 
     pub(super) fn handle_permit_answer(&self, number: u64, permit: Permit) {
--- a/src/gateway/control/quarantine.rs
+++ b/src/gateway/control/quarantine.rs
@@ -133,19 +133,19 @@
     }
 
     /// Merges the record of a request from a peer.
-    pub(super) fn handle_crash_record(self: &Rc<Control>, told: CrashRecord) {
-        let fingerprint = told.fingerprint;
+    pub(super) fn handle_crash_record(self: &Rc<Control>, record: CrashRecord) {
+        let fingerprint = record.fingerprint;
         // Crashes seen by several instances can add up to a quarantine at any of them, so the few registered
         // instances store it.
-        if self.merge_crash_record(told, "peer") && self.should_register() {
+        if self.merge_crash_record(record, "peer") && self.should_register() {
             self.store_record(fingerprint);
         }
     }
 
     /// Merges the record of a request. Returns whether this quarantines the request here.
-    pub(super) fn merge_crash_record(&self, told: CrashRecord, from: &'static str) -> bool {
-        let fingerprint = told.fingerprint;
-        let is_new = self.state.borrow_mut().quarantine.hear(told, self.clock.now_ms());
+    pub(super) fn merge_crash_record(&self, record: CrashRecord, from: &'static str) -> bool {
+        let fingerprint = record.fingerprint;
+        let is_new = self.state.borrow_mut().quarantine.hear(record, self.clock.now_ms());
         if is_new {
             self.log_quarantined(fingerprint, from);
         }
@@ -157,12 +157,12 @@
     fn publish_quarantine_changes(&self) {
         let now_ms = self.clock.now_ms();
         let mut state = self.state.borrow_mut();
-        let news = state.quarantine.take_news(now_ms);
-        if news.is_empty() {
+        let changed = state.quarantine.take_news(now_ms);
+        if changed.is_empty() {
             return;
         }
-        for told in news {
-            state.membership.tell(Rumor::Crashes(told));
+        for record in changed {
+            state.membership.tell(Rumor::Crashes(record));
         }
         drop(state);
         self.publish();
@@ -171,9 +171,9 @@
     /// Sends the next batch of all records to some peers.
     pub(super) fn send_quarantine(&self, addrs: &[SocketAddr]) {
         let now_ms = self.clock.now_ms();
-        let part = self.state.borrow_mut().quarantine.next_part(now_ms);
-        if !part.is_empty() {
-            let rumors = part.into_iter().map(Rumor::Crashes).collect();
+        let batch = self.state.borrow_mut().quarantine.next_part(now_ms);
+        if !batch.is_empty() {
+            let rumors = batch.into_iter().map(Rumor::Crashes).collect();
             self.send(&Message::Rumors(rumors), addrs);
         }
     }
--- a/src/gateway/control/shares.rs
+++ b/src/gateway/control/shares.rs
@@ -28,19 +28,21 @@
 impl Control {
     /// Adopts the set of large services from an instance that holds all upstreams: narrows services that became
     /// large to this instance's share, and requests a fetch for those that no longer are.
-    pub(super) fn adopt_large_services(&self, state: &mut ControlState, told: &Part) {
-        if state.held_part.large == told.large {
+    pub(super) fn adopt_large_services(&self, state: &mut ControlState, reported: &Part) {
+        if state.held_part.large == reported.large {
             return;
         }
-        let is_less = state.held_part.large.iter().any(|service| !told.large.contains(service));
-        state.held_part.large = told.large.clone();
+        let has_fewer_large =
+            state.held_part.large.iter().any(|service| !reported.large.contains(service));
+        state.held_part.large = reported.large.clone();
         state.cached_suitable_share = None;
         if state.held_part.share.is_all() {
             return;
         }
-        if is_less {
-            let is_small = told.large.is_empty();
-            state.wanted_share = Some(if is_small { Share::ALL } else { state.held_part.share });
+        if has_fewer_large {
+            let has_no_large = reported.large.is_empty();
+            state.wanted_share =
+                Some(if has_no_large { Share::ALL } else { state.held_part.share });
         }
         let ControlState { fleet, held_part, .. } = state;
         fleet.narrow(holds(&self.me.id, held_part));
@@ -85,8 +87,8 @@
         let since_ms = *state.can_narrow_since_ms.get_or_insert(now_ms);
         let is_settled = watchers::is_far_behind(before_me) || now_ms >= since_ms + NARROW_DELAY_MS;
         let suitable = Control::suitable_share(&state);
-        let is_wide = suitable > share && (share.is_all() || suitable > share.narrower());
-        if is_wide && is_settled && !state.is_watching && now_ms >= state.widened_until_ms {
+        let is_too_wide = suitable > share && (share.is_all() || suitable > share.narrower());
+        if is_too_wide && is_settled && !state.is_watching && now_ms >= state.widened_until_ms {
             self.narrow(&mut state, suitable);
             drop(state);
             self.dirty.notify_one();
--- a/src/gateway/control/signals.rs
+++ b/src/gateway/control/signals.rs
@@ -32,56 +32,56 @@
     }
 
     /// Records what an upstream announced to this instance, and sends it to all other instances if it is new.
-    fn record_and_send(&self, news: SignalNews) {
+    fn record_and_send(&self, update: SignalNews) {
         let mut state = self.state.borrow_mut();
-        let Some(news) = self.record_new(&mut state, news) else { return };
-        let near = self.domain_peers(&state);
-        let far = self.one_peer_per_other_domain(&state);
+        let Some(update) = self.record_new(&mut state, update) else { return };
+        let same_domain = self.domain_peers(&state);
+        let other_domains = self.one_peer_per_other_domain(&state);
         drop(state);
-        self.send(&Message::Signals(news.clone()), &near);
-        self.send(&Message::Signals(SignalNews { is_passed_on: true, ..news }), &far);
+        self.send(&Message::Signals(update.clone()), &same_domain);
+        self.send(&Message::Signals(SignalNews { is_passed_on: true, ..update }), &other_domains);
     }
 
     /// Records what an upstream announced to a peer, and forwards it within this failure domain if it is new and
     /// came from another domain.
-    pub(super) fn handle_signal_update(&self, news: SignalNews) {
+    pub(super) fn handle_signal_update(&self, update: SignalNews) {
         let mut state = self.state.borrow_mut();
-        let Some(mut news) = self.record_new(&mut state, news) else { return };
-        let near = self.domain_peers(&state);
+        let Some(mut update) = self.record_new(&mut state, update) else { return };
+        let same_domain = self.domain_peers(&state);
         drop(state);
-        if std::mem::take(&mut news.is_passed_on) {
-            self.send(&Message::Signals(news), &near);
+        if std::mem::take(&mut update.is_passed_on) {
+            self.send(&Message::Signals(update), &same_domain);
         }
     }
 
     /// Records what is new, and returns it.
-    fn record_new(&self, state: &mut ControlState, mut news: SignalNews) -> Option<SignalNews> {
+    fn record_new(&self, state: &mut ControlState, mut update: SignalNews) -> Option<SignalNews> {
         let now_ms = self.clock.now_ms();
-        news.rates.retain(|told| state.named_rates.note(told, now_ms));
-        news.departures.retain(|departure| state.departures.note(departure, now_ms));
-        if news.is_empty() {
+        update.rates.retain(|rate| state.named_rates.note(rate, now_ms));
+        update.departures.retain(|departure| state.departures.note(departure, now_ms));
+        if update.is_empty() {
             return None;
         }
         self.dirty.notify_one();
-        Some(news)
+        Some(update)
     }
 
     /// Sends everything known to one live peer: messages may have been lost, or the peer may have just started.
     pub(super) fn send_signals_to_one_peer(&self) {
         let state = self.state.borrow();
-        let news = SignalNews {
+        let update = SignalNews {
             rates: state.named_rates.all(self.clock.now_ms()),
             departures: state.departures.all(),
             is_passed_on: false,
         };
-        if news.is_empty() {
+        if update.is_empty() {
             return;
         }
         let alive: Vec<SocketAddr> =
             state.membership.alive().map(|member| member.card.registration.peer_addr).collect();
         drop(state);
         if let Some(addr) = fastrand::choice(alive) {
-            self.send(&Message::Signals(news), &[addr]);
+            self.send(&Message::Signals(update), &[addr]);
         }
     }
 }
--- a/src/gateway/control/successors.rs
+++ b/src/gateway/control/successors.rs
@@ -25,14 +25,14 @@
 
 impl Control {
     pub(super) async fn search_for_engines(self: Rc<Control>) {
-        let mut sought = Sought::default();
+        let mut search = Sought::default();
         loop {
             tokio::time::sleep(Duration::from_millis(SEARCH_INTERVAL_MS)).await;
-            self.update_search(&mut sought);
+            self.update_search(&mut search);
             if !self.is_searcher() {
                 continue;
             }
-            for lost in self.engines(sought.due()) {
+            for lost in self.engines(search.due()) {
                 let control = Rc::clone(&self);
                 tokio::task::spawn_local(async move { control.check_address(lost).await });
             }
@@ -53,11 +53,11 @@
         before.count() < MAX_SEARCHERS
     }
 
-    fn update_search(&self, sought: &mut Sought) {
+    fn update_search(&self, search: &mut Sought) {
         let mut lost = self.shared.own_lost();
         lost.extend(self.state.borrow().lost.keys().cloned());
         let view = self.shared.view.load();
-        sought.note(lost, |id| view.fleet.upstreams.contains_key(id));
+        search.note(lost, |id| view.fleet.upstreams.contains_key(id));
     }
 
     /// The upstreams among `ids` that are engines and are not shutting down.
@@ -95,17 +95,17 @@
         let service = view.config.as_ref()?.services.get(&lost.service)?;
         let engine = service.engine.as_ref()?;
         let mut channel = Channel::open(lost.addr, ANSWER_TIMEOUT_MS).await.ok()?;
-        let ask = |path: &str| {
+        let get_request = |path: &str| {
             let request = Request::get(path).header(HOST, lost.addr.to_string());
             request.body(Full::<Bytes>::default()).ok()
         };
-        let response = channel.send(ask(self.dialect.state_path())?).await.ok()?;
+        let response = channel.send(get_request(self.dialect.state_path())?).await.ok()?;
         let response = response.into_body().collect().await.ok()?.to_bytes();
         let models = self.dialect.engine_state(&response)?.models;
         if models.is_empty() || models.iter().any(|model| !engine.models.contains(model)) {
             return None;
         }
-        let health = channel.send(ask(&service.health_path)?).await.ok()?;
+        let health = channel.send(get_request(&service.health_path)?).await.ok()?;
         let is_well = health.status().is_success();
         self.dialect.marks(health.headers()).upstream.filter(|_| is_well)
     }
--- a/src/gateway/server.rs
+++ b/src/gateway/server.rs
@@ -18,7 +18,9 @@
 
 use super::answer::{self, Answer};
 use super::control::Control;
-use super::control::knowledge::{CONFIG_PATH, ConfigAsk, FETCH_TIMEOUT_MS, LIST_PATH, ListAsk};
+use super::control::knowledge::{
+    CONFIG_PATH, ConfigRequest, FETCH_TIMEOUT_MS, LIST_PATH, ListRequest,
+};
 use super::dialect::{Dialect, Question};
 use super::directory::Directory;
 use super::membership::Phase;
@@ -300,10 +302,10 @@
     let body = Limited::new(request.into_body(), LONGEST_ASK_BYTES).collect().await;
     let Ok(body) = body.map(Collected::to_bytes) else { return refused(400) };
     let answered = match &*path {
-        CONFIG_PATH => rmp_serde::from_slice::<ConfigAsk>(&body)
+        CONFIG_PATH => rmp_serde::from_slice::<ConfigRequest>(&body)
             .map(|asked| rmp_serde::to_vec(&control.config_for(asked)).ok()),
         LIST_PATH if !has_place => return refused(503),
-        LIST_PATH => rmp_serde::from_slice::<ListAsk>(&body).map(|asked| {
+        LIST_PATH => rmp_serde::from_slice::<ListRequest>(&body).map(|asked| {
             control.list_for(&asked).and_then(|listed| rmp_serde::to_vec(&listed).ok())
         }),
         _ => return refused(404),
--- a/tests/gateway/configuration.rs
+++ b/tests/gateway/configuration.rs
@@ -3,7 +3,7 @@
 
 use std::net::SocketAddr;
 
-use siskinrock::gateway::control::knowledge::{CONFIG_PATH, ConfigAsk, LIST_PATH, ListAsk};
+use siskinrock::gateway::control::knowledge::{CONFIG_PATH, ConfigRequest, LIST_PATH, ListRequest};
 use siskinrock_fakes::caller::{self, Call};
 use siskinrock_fakes::http::Connection;
 use siskinrock_fakes::process::wait_for;
@@ -137,7 +137,7 @@
 }
 
 fn list_question() -> Call {
-    let asked = ListAsk { id: "edge-9".into(), since: 0, share: None, after: "".into() };
+    let asked = ListRequest { id: "edge-9".into(), since: 0, share: None, after: "".into() };
     question(LIST_PATH, &asked)
 }
 
@@ -154,7 +154,7 @@
     let holding = hold_lists(&running, 0).await;
     let turned_away = caller::send(peers, &list_question()).await.unwrap();
     assert_eq!(turned_away.status(), 503);
-    let config = question(CONFIG_PATH, &ConfigAsk { known: 0 });
+    let config = question(CONFIG_PATH, &ConfigRequest { known: 0 });
     assert_eq!(
         caller::send(peers, &config).await.unwrap().status(),
         200,
