--- a/src/gateway/control.rs
+++ b/src/gateway/control.rs
@@ -3,22 +3,22 @@
 //!
 //! Its tasks share one state. `directory` watches the directory and maintains the registration there;
 //! `exchange` runs the membership protocol and exchanges load updates with peers; `changes` pushes newer
-//! configurations and upstreams to peers, and `knowledge` fetches them from peers; `shares` decides how many
+//! configurations and upstreams to peers, and `fetch` fetches them from peers; `shares` decides how many
 //! upstreams of large services this instance holds; `duties` runs the tasks that only one instance may run
 //! at a time; `permits` enforces the rate limits that upstreams announce; `signals` distributes what
-//! upstreams announce in their answers; `quarantine` tracks requests that crash upstreams; `successors`
+//! upstreams announce in their answers; `quarantine` tracks requests that crash upstreams; `rediscovery`
 //! searches for restarted engines while the directory is unreachable.
 
 mod changes;
 mod directory;
 mod duties;
 mod exchange;
-pub mod knowledge;
+pub mod fetch;
 mod permits;
 mod quarantine;
+mod rediscovery;
 mod shares;
 mod signals;
-mod successors;
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, VecDeque};
--- a/src/gateway/server.rs
+++ b/src/gateway/server.rs
@@ -18,9 +18,7 @@
 
 use super::answer::{self, Answer};
 use super::control::Control;
-use super::control::knowledge::{
-    CONFIG_PATH, ConfigRequest, FETCH_TIMEOUT_MS, LIST_PATH, ListRequest,
-};
+use super::control::fetch::{CONFIG_PATH, ConfigRequest, FETCH_TIMEOUT_MS, LIST_PATH, ListRequest};
 use super::dialect::{Dialect, Question};
 use super::directory::Directory;
 use super::membership::Phase;
--- a/tests/gateway/configuration.rs
+++ b/tests/gateway/configuration.rs
@@ -3,7 +3,7 @@
 
 use std::net::SocketAddr;
 
-use siskinrock::gateway::control::knowledge::{CONFIG_PATH, ConfigRequest, LIST_PATH, ListRequest};
+use siskinrock::gateway::control::fetch::{CONFIG_PATH, ConfigRequest, LIST_PATH, ListRequest};
 use siskinrock_fakes::caller::{self, Call};
 use siskinrock_fakes::http::Connection;
 use siskinrock_fakes::process::wait_for;
