--- a/tests/gateway/clock.rs
+++ b/tests/gateway/clock.rs
@@ -31,7 +31,7 @@
 
 /// The clock of a process advances with the machine's clock and never goes back.
 #[tokio::test]
-async fn the_clock_runs() {
+async fn the_clock_advances() {
     let clock = Clock::start();
     let before_ms = clock.now_ms();
     let until_ms = before_ms + 30;
--- a/tests/gateway/configuration.rs
+++ b/tests/gateway/configuration.rs
@@ -18,7 +18,7 @@
 }
 
 #[tokio::test]
-async fn a_new_route_serves_everywhere() {
+async fn a_new_route_takes_effect_at_all_instances() {
     let running = support::start(3).await;
     assert_eq!(status(&running, 0, &call("GET", "/fresh/a")).await, 404);
     running.site.store.put("op/config", &config(7, &[KEY], &["fresh"]));
@@ -31,18 +31,19 @@
 }
 
 #[tokio::test]
-async fn a_key_that_was_taken_away_is_refused() {
+async fn a_removed_key_is_refused() {
     let running = support::start(2).await;
-    let sent = || Call { key: Some(SECOND_KEY.to_owned()), ..call("GET", "/look/a") };
-    assert_eq!(status(&running, 0, &sent()).await, 200);
+    let request = || Call { key: Some(SECOND_KEY.to_owned()), ..call("GET", "/look/a") };
+    assert_eq!(status(&running, 0, &request()).await, 200);
     running.site.store.put("op/config", &config(7, &[KEY], &[]));
     for index in 0..2 {
-        wait_for("the key is gone", async || status(&running, index, &sent()).await == 401).await;
+        wait_for("the key is gone", async || status(&running, index, &request()).await == 401)
+            .await;
     }
 }
 
 #[tokio::test]
-async fn an_older_or_broken_configuration_changes_nothing() {
+async fn an_older_or_invalid_configuration_is_ignored() {
     let running = support::start(1).await;
     running.site.store.put("op/config", &config(7, &[KEY], &["fresh"]));
     wait_for("the route is in force", async || {
@@ -60,7 +61,7 @@
 
 /// An instance whose calls the store refuses fetches the configuration from its peers.
 #[tokio::test]
-async fn peers_tell_what_the_store_does_not() {
+async fn a_configuration_comes_from_peers_while_the_store_refuses() {
     let mut running = support::start(2).await;
     running.site.store.put("op/config", &config(7, &[KEY], &["fresh"]));
     for index in 0..2 {
@@ -78,7 +79,7 @@
 
 /// A store that didn't answer for a while may have dropped the pending watches.
 #[tokio::test]
-async fn a_forgotten_watch_is_asked_anew() {
+async fn a_dropped_watch_is_restarted() {
     let running = support::start(2).await;
     running.site.store.fail(Fault::Silent);
     running.site.store.put("op/config", &config(7, &[KEY], &["fresh"]));
@@ -96,7 +97,7 @@
 }
 
 #[tokio::test]
-async fn an_instance_that_knows_no_configuration_says_come_back() {
+async fn an_instance_without_a_configuration_answers_503_with_retry_after() {
     let site = siskinrock_fakes::site::Site::start(1, 15).await;
     site.store.fail(Fault::Busy);
     let mut running = support::start_site(site, 0).await;
@@ -112,8 +113,8 @@
 }
 
 /// A request from one instance to another.
-fn question(path: &str, asked: &impl serde::Serialize) -> Call {
-    Call { body: rmp_serde::to_vec(asked).unwrap(), ..call("POST", path) }
+fn peer_request(path: &str, message: &impl serde::Serialize) -> Call {
+    Call { body: rmp_serde::to_vec(message).unwrap(), ..call("POST", path) }
 }
 
 /// The address at which an instance serves requests of peers.
@@ -122,64 +123,64 @@
 }
 
 /// Connections that occupy all slots for list requests at an instance.
-async fn hold_lists(running: &Running, index: usize) -> Vec<Connection> {
-    let list = list_question();
-    let mut holding = Vec::new();
-    for _ in 0..LISTS_AT_ONCE {
+async fn occupy_list_slots(running: &Running, index: usize) -> Vec<Connection> {
+    let list = list_request();
+    let mut occupying = Vec::new();
+    for _ in 0..MAX_LIST_REQUESTS {
         let stream = TcpStream::connect(peer_addr(running, index)).await.unwrap();
         let mut connection = Connection::new(stream);
         connection.write(&list.encode()).await.unwrap();
         // The request may have been refused because other instances are fetching.
         let _ = connection.read_answer().await;
-        holding.push(connection);
+        occupying.push(connection);
     }
-    holding
+    occupying
 }
 
-fn list_question() -> Call {
-    let asked = ListRequest { id: "edge-9".into(), since: 0, share: None, after: "".into() };
-    question(LIST_PATH, &asked)
+fn list_request() -> Call {
+    let message = ListRequest { id: "edge-9".into(), since: 0, share: None, after: "".into() };
+    peer_request(LIST_PATH, &message)
 }
 
 /// How many list requests an instance serves at once.
-const LISTS_AT_ONCE: usize = 4;
+const MAX_LIST_REQUESTS: usize = 4;
 
 /// Guards against a fleet that never gets the list: all instances start at once, request it from the first
 /// one that has it, time out and request it again. An instance therefore serves only a few list requests at
 /// once and refuses further ones at once; a stalled connection must not keep its slot.
 #[tokio::test]
-async fn a_few_lists_are_served_at_once_and_the_others_turned_away() {
+async fn only_a_few_list_requests_are_served_at_once() {
     let running = support::start(1).await;
     let peers = peer_addr(&running, 0);
-    let holding = hold_lists(&running, 0).await;
-    let turned_away = caller::send(peers, &list_question()).await.unwrap();
-    assert_eq!(turned_away.status(), 503);
-    let config = question(CONFIG_PATH, &ConfigRequest { known: 0 });
+    let occupying = occupy_list_slots(&running, 0).await;
+    let refused = caller::send(peers, &list_request()).await.unwrap();
+    assert_eq!(refused.status(), 503);
+    let config = peer_request(CONFIG_PATH, &ConfigRequest { known: 0 });
     assert_eq!(
         caller::send(peers, &config).await.unwrap().status(),
         200,
         "the configuration needs no list slot"
     );
     wait_for("the slots are free again", async || {
-        caller::send(peers, &list_question()).await.is_ok_and(|answer| answer.status() == 200)
+        caller::send(peers, &list_request()).await.is_ok_and(|answer| answer.status() == 200)
     })
     .await;
-    drop(holding);
+    drop(occupying);
 }
 
 /// Guards against slow configuration changes: when the configuration came in one answer with the list, of
 /// 300 KB over saturated links, an operator's change took four seconds to be in force.
 #[tokio::test]
-async fn a_configuration_waits_for_no_list() {
+async fn a_configuration_does_not_wait_for_lists() {
     /// Four instances watch the store, and the other two get changes from them.
     const INSTANCES: usize = 6;
     let running = std::sync::Arc::new(support::start(INSTANCES as u8).await);
     let held = std::sync::Arc::clone(&running);
-    let holding = tokio::spawn(async move {
+    let occupying = tokio::spawn(async move {
         loop {
             let mut connections = Vec::new();
             for index in 0..INSTANCES {
-                connections.extend(hold_lists(&held, index).await);
+                connections.extend(occupy_list_slots(&held, index).await);
             }
             tokio::time::sleep(std::time::Duration::from_millis(200)).await;
         }
@@ -194,6 +195,6 @@
         .await;
     }
     let taken = since.elapsed();
-    holding.abort();
+    occupying.abort();
     assert!(taken.as_millis() < 2_000, "in force after {taken:?}");
 }
--- a/tests/gateway/large_services.rs
+++ b/tests/gateway/large_services.rs
@@ -11,17 +11,17 @@
 /// All instances of the site.
 const INSTANCES: u8 = 30;
 /// The minimum number of instances that hold all upstreams.
-const HOLD_ALL: usize = 8;
+const MIN_FULL_HOLDERS: usize = 8;
 /// Fewer than this many instances hold all upstreams; the others hold a share.
-const MOST_HOLD_ALL: usize = 20;
+const FULL_HOLDERS_LIMIT: usize = 20;
 /// Listed engines that don't run, beside the running ones.
-const LISTED: usize = 3_000;
+const LISTED_ENGINES: usize = 3_000;
 
 /// A site with thousands of engines in its list. Those that don't run are listed as draining, so that no
 /// requests are sent to them.
 async fn site() -> Site {
     let site = Site::start(2, 15).await;
-    for number in 0..LISTED {
+    for number in 0..LISTED_ENGINES {
         list(&site, number, "draining");
     }
     site
@@ -46,28 +46,29 @@
 }
 
 /// How many instances hold all upstreams, and the maximum number of upstreams at one of the others.
-async fn held(running: &Running) -> (usize, u64) {
+async fn held_upstreams(running: &Running) -> (usize, u64) {
     let mut counts = Vec::new();
     for index in 0..running.gateways.len() {
         counts.push(gauge(running, index, "upstreams").await);
     }
-    let all = counts.iter().filter(|count| **count as usize >= LISTED).count();
-    let most = counts.iter().filter(|count| (**count as usize) < LISTED).max();
-    (all, most.copied().unwrap_or(0))
+    let full_holders = counts.iter().filter(|count| **count as usize >= LISTED_ENGINES).count();
+    let max_held = counts.iter().filter(|count| (**count as usize) < LISTED_ENGINES).max();
+    (full_holders, max_held.copied().unwrap_or(0))
 }
 
 /// Guards against a load that grows with services times instances: otherwise each instance holds all 3,000
 /// upstreams and receives each change, and each start, also a restart of the whole fleet, transfers the full
 /// list to each instance.
 #[tokio::test]
-async fn a_few_hold_all_and_the_others_a_part() {
+async fn a_few_instances_hold_all_upstreams_and_the_others_a_share() {
     let mut running = support::start_site(site().await, INSTANCES).await;
     wait_for("each instance holds its share", async || {
-        let (all, most) = held(&running).await;
+        let (full_holders, max_held) = held_upstreams(&running).await;
         // With so few instances, each has to hold half of the upstreams, so that each upstream is held by
         // enough instances. Instances that counted themselves among the eight before they knew all members
         // keep the full list.
-        (HOLD_ALL..MOST_HOLD_ALL).contains(&all) && (1_000..2_000).contains(&most)
+        (MIN_FULL_HOLDERS..FULL_HOLDERS_LIMIT).contains(&full_holders)
+            && (1_000..2_000).contains(&max_held)
     })
     .await;
     for index in 0..usize::from(INSTANCES) {
@@ -87,16 +88,22 @@
     let fetched = fetches(&running) - fetched_before;
     // One fetch by each instance, and one more by those that come to hold all upstreams. There were 70 when
     // every instance also fetched a share twice as wide while it knew only a few members.
-    assert!(fetched <= usize::from(INSTANCES) + 2 * HOLD_ALL, "{fetched} fetches of the list");
+    assert!(
+        fetched <= usize::from(INSTANCES) + 2 * MIN_FULL_HOLDERS,
+        "{fetched} fetches of the list"
+    );
     let answer = caller::send(running.front(29), &call("GET", "/look/a")).await.unwrap();
     assert_eq!(answer.status(), 200);
 }
 
 /// Changes reach both the instances that hold all upstreams and those that hold the changed ones in a share.
 #[tokio::test]
-async fn changes_reach_those_that_hold_a_part() {
+async fn changes_reach_instances_that_hold_a_share() {
     let running = support::start_site(site().await, INSTANCES).await;
-    wait_for("each instance holds its share", async || held(&running).await.0 >= HOLD_ALL).await;
+    wait_for("each instance holds its share", async || {
+        held_upstreams(&running).await.0 >= MIN_FULL_HOLDERS
+    })
+    .await;
     for round in 0..3 {
         for number in 0..100 {
             list(&running.site, round * 1_000 + number, "ready");
--- a/tests/gateway/leaving.rs
+++ b/tests/gateway/leaving.rs
@@ -13,28 +13,33 @@
 use crate::support::{self, call, plan};
 
 /// The time after the announcement from which on the upstream must receive no new requests.
-const BOUND: Duration = Duration::from_secs(2);
+const DRAIN_BOUND: Duration = Duration::from_secs(2);
 /// How long callers send requests after the announcement.
-const LOAD: Duration = Duration::from_secs(6);
+const LOAD_DURATION: Duration = Duration::from_secs(6);
 
 const LEAVING: Signals = Signals { limit_per_s: None, is_leaving: true, backoff_s: None };
 
-fn late(seen: &[Seen], said_at: Instant) -> usize {
-    seen.iter().filter(|seen| seen.at > said_at + BOUND).count()
+fn count_after_bound(seen: &[Seen], announced_at: Instant) -> usize {
+    seen.iter().filter(|seen| seen.at > announced_at + DRAIN_BOUND).count()
 }
 
 /// The directory doesn't answer, so the last list still says that the upstream is ready.
 #[parameterized(one_instance = { 1 }, nine_instances = { 9 }, many_instances = { 73 })]
 #[test_macro(tokio::test)]
-async fn an_upstream_that_says_that_it_leaves_gets_nothing_new(instances: u8) {
+async fn a_leaving_upstream_gets_no_new_requests(instances: u8) {
     let running = support::start(instances).await;
     running.site.store.fail(store::Fault::Silent);
-    let said_at = Instant::now();
+    let announced_at = Instant::now();
     let leaving = &running.site.services[0];
     leaving.signal(LEAVING);
-    let got = load::play(&running, CALL_EVERY, booking_or_look_up, said_at + LOAD).await;
-    assert_eq!(late(&leaving.seen(), said_at), 0, "requests after the bound");
-    assert_eq!(got.iter().filter(|got| got.status != 200).count(), 0, "other upstreams serve them");
+    let results =
+        load::play(&running, CALL_EVERY, booking_or_look_up, announced_at + LOAD_DURATION).await;
+    assert_eq!(count_after_bound(&leaving.seen(), announced_at), 0, "requests after the bound");
+    assert_eq!(
+        results.iter().filter(|result| result.status != 200).count(),
+        0,
+        "other upstreams serve them"
+    );
 }
 
 /// Hedges of requests to silent upstreams, and retries after errors, lost answers and refusals, avoid the
@@ -46,82 +51,87 @@
     full = { Fault::Full },
 )]
 #[test_macro(tokio::test)]
-async fn repeats_keep_away_from_it_as_well(fault: Fault) {
+async fn retries_and_hedges_avoid_a_leaving_upstream(fault: Fault) {
     let running = support::start(3).await;
     running.site.store.fail(store::Fault::Silent);
-    let said_at = Instant::now();
+    let announced_at = Instant::now();
     let leaving = &running.site.services[0];
     leaving.signal(LEAVING);
     running.site.services[1].fail(fault);
     let look_up = |_| call("GET", "/look/seat");
-    load::play(&running, CALL_EVERY, look_up, said_at + LOAD).await;
-    assert_eq!(late(&leaving.seen(), said_at), 0, "requests after the bound");
+    load::play(&running, CALL_EVERY, look_up, announced_at + LOAD_DURATION).await;
+    assert_eq!(count_after_bound(&leaving.seen(), announced_at), 0, "requests after the bound");
 }
 
 /// The announcement holds although the directory lists the upstream as ready again afterwards, and also at an
 /// instance that learns of it only from its peer.
 #[tokio::test]
-async fn what_an_upstream_said_holds_against_the_list_and_at_all_instances() {
+async fn an_announced_departure_overrides_the_list_at_all_instances() {
     let running = support::start(2).await;
     let leaving = &running.site.services[0];
     leaving.signal(LEAVING);
-    let said_at = Instant::now();
+    let announced_at = Instant::now();
     let seen_by_first = async || {
         caller::send(running.front(0), &call("GET", "/look/seat")).await.unwrap();
         !leaving.seen().is_empty()
     };
     process::wait_for("one instance received an answer of the upstream", seen_by_first).await;
     running.site.list_service(0, "ready");
-    tokio::time::sleep(BOUND).await;
+    tokio::time::sleep(DRAIN_BOUND).await;
     for front in [running.front(0), running.front(1)].iter().cycle().take(60) {
         let answer = caller::send(*front, &call("GET", "/look/seat")).await.unwrap();
         assert_eq!(answer.status(), 200);
     }
-    assert_eq!(late(&leaving.seen(), said_at), 0, "requests after the bound");
+    assert_eq!(count_after_bound(&leaving.seen(), announced_at), 0, "requests after the bound");
 }
 
 /// Once all upstreams of a service are shutting down, requests are refused at once and have not run.
 #[tokio::test]
-async fn calls_are_refused_at_once_where_all_upstreams_leave() {
+async fn requests_are_refused_at_once_when_all_upstreams_leave() {
     let running = support::start(2).await;
     running.site.store.fail(store::Fault::Silent);
     running.site.services.iter().for_each(|service| service.signal(LEAVING));
-    let said_at = Instant::now();
-    let got = load::play(&running, CALL_EVERY, booking_or_look_up, said_at + LOAD).await;
+    let announced_at = Instant::now();
+    let results =
+        load::play(&running, CALL_EVERY, booking_or_look_up, announced_at + LOAD_DURATION).await;
     for service in &running.site.services {
-        assert_eq!(late(&service.seen(), said_at), 0, "requests after the bound");
+        assert_eq!(count_after_bound(&service.seen(), announced_at), 0, "requests after the bound");
     }
-    for got in got.iter().filter(|got| got.status != 200) {
-        assert_eq!((got.status, running.runs_of(&got.id)), (503, 0));
-        assert!(got.took <= AT_ONCE && got.retry_after_s.is_some());
+    for result in results.iter().filter(|result| result.status != 200) {
+        assert_eq!((result.status, running.runs_of(&result.id)), (503, 0));
+        assert!(result.took <= AT_ONCE && result.retry_after_s.is_some());
     }
 }
 
 /// A leaving engine gets no new streams, no streams that resume after the loss of another engine, and no
 /// copies (of a run's KV cache).
 #[tokio::test]
-async fn an_engine_that_says_that_it_leaves_gets_no_streams_and_no_copies() {
+async fn a_leaving_engine_gets_no_streams_and_no_copies() {
     let running = support::start(3).await;
     running.site.store.fail(store::Fault::Silent);
     let [leaving, torn, ..] = &*running.site.engines else { panic!("there are engines") };
     leaving.signal(LEAVING);
-    let said_at = Instant::now();
+    let announced_at = Instant::now();
     let tear = async {
-        while said_at.elapsed() < LOAD {
+        while announced_at.elapsed() < LOAD_DURATION {
             tokio::time::sleep(Duration::from_millis(700)).await;
             torn.fail(engine::Fault::Torn);
             tokio::time::sleep(Duration::from_millis(300)).await;
             torn.fail(engine::Fault::None);
         }
     };
-    let streams = load::play(&running, STREAM_EVERY, |_| plan(), said_at + LOAD);
-    let (got, ()) = tokio::join!(streams, tear);
-    assert_eq!(late(&leaving.seen(), said_at), 0, "streams after the bound");
+    let streams = load::play(&running, STREAM_EVERY, |_| plan(), announced_at + LOAD_DURATION);
+    let (results, ()) = tokio::join!(streams, tear);
+    assert_eq!(count_after_bound(&leaving.seen(), announced_at), 0, "streams after the bound");
     let addr = leaving.addr.to_string();
     let copied_there = |seen: &&Seen| {
-        seen.at > said_at + BOUND && seen.request.header("x-kv-backup") == Some(&*addr)
+        seen.at > announced_at + DRAIN_BOUND && seen.request.header("x-kv-backup") == Some(&*addr)
     };
     let seen: Vec<Seen> = running.site.engines.iter().flat_map(|engine| engine.seen()).collect();
     assert_eq!(seen.iter().filter(copied_there).count(), 0, "copies after the bound");
-    assert_eq!(got.iter().filter(|got| got.status != 200).count(), 0, "other upstreams serve them");
+    assert_eq!(
+        results.iter().filter(|result| result.status != 200).count(),
+        0,
+        "other upstreams serve them"
+    );
 }
--- a/tests/gateway/store.rs
+++ b/tests/gateway/store.rs
@@ -25,7 +25,7 @@
 }
 
 #[tokio::test]
-async fn a_listing_of_several_pages_is_whole() {
+async fn a_listing_of_several_pages_is_complete() {
     with_store(async |site, client| {
         let listing = client.list().await.unwrap();
         let upstreams =
@@ -38,7 +38,7 @@
 }
 
 #[tokio::test]
-async fn a_watch_tells_the_last_change_of_each_record() {
+async fn a_watch_returns_the_last_change_of_each_record() {
     with_store(async |site, client| {
         let revision = client.list().await.unwrap().revision;
         site.store.put("op/config", &config(3, &[KEY], &[]));
@@ -63,7 +63,7 @@
 }
 
 #[tokio::test]
-async fn a_history_that_is_gone_is_told() {
+async fn a_watch_beyond_the_kept_history_is_reported() {
     with_store(async |site, client| {
         let revision = client.list().await.unwrap().revision;
         site.store.put("op/config", &config(3, &[KEY], &[]));
@@ -74,7 +74,7 @@
 }
 
 #[tokio::test]
-async fn a_store_that_turns_away_has_done_nothing() {
+async fn a_refused_call_has_no_effect() {
     with_store(async |site, client| {
         site.store.fail(store::Fault::Busy);
         let refused = client.register(&registration(), 5_000).await.unwrap_err();
@@ -87,7 +87,7 @@
 }
 
 #[tokio::test]
-async fn a_lost_answer_spoils_its_connection_only() {
+async fn a_lost_answer_breaks_only_its_connection() {
     with_store(async |site, client| {
         client.list().await.unwrap();
         site.store.fail(store::Fault::LostAnswers);
@@ -99,7 +99,7 @@
 }
 
 #[tokio::test]
-async fn a_lease_that_ended_is_told() {
+async fn an_ended_lease_is_reported() {
     with_store(async |site, client| {
         let lease = client.register(&registration(), 5_000).await.unwrap();
         client.renew(lease).await.unwrap();
