--- a/src/gateway/control.rs
+++ b/src/gateway/control.rs
@@ -94,9 +94,9 @@
     fronts_phase: Phase,
     /// The other instances of this failure domain that route requests, including those that are starting or
     /// stopping.
-    placing_peers: Vec<SocketAddr>,
+    routing_peers: Vec<SocketAddr>,
     /// Whether this instance routes requests.
-    is_placing: bool,
+    is_routing: bool,
     phase: Phase,
     is_directory_lost: bool,
     /// When the directory last answered.
@@ -234,8 +234,8 @@
             lost: BTreeMap::new(),
             fronts: Arc::default(),
             fronts_phase: Phase::Starting,
-            placing_peers: Vec::new(),
-            is_placing: true,
+            routing_peers: Vec::new(),
+            is_routing: true,
             phase: Phase::Starting,
             is_directory_lost: false,
             directory_answered_ms: 0,
@@ -417,12 +417,12 @@
         if !state.held_part.share.is_all() || state.held_part.large.is_empty() {
             return state.held_part.share;
         }
-        let made_from = (state.fleet.changes(), state.membership.alive().count());
+        let inputs = (state.fleet.changes(), state.membership.alive().count());
         match state.cached_suitable_share {
-            Some((from, share)) if from == made_from => share,
+            Some((from, share)) if from == inputs => share,
             _ => {
                 let share = Control::suitable_share(state);
-                state.cached_suitable_share = Some((made_from, share));
+                state.cached_suitable_share = Some((inputs, share));
                 share
             }
         }
@@ -475,8 +475,8 @@
             }
         }
         self.check_directory_if_suspected(state);
-        let has_own = state.fronts_phase == state.phase;
-        if changed.is_empty() && has_own {
+        let is_phase_unchanged = state.fronts_phase == state.phase;
+        if changed.is_empty() && is_phase_unchanged {
             return;
         }
         state.fronts_phase = state.phase;
@@ -501,13 +501,13 @@
         let fronts = active.map(front).collect();
         let same_domain = state.membership.alive().map(|member| &member.card).chain([me]);
         let same_domain = same_domain.filter(|card| card.registration.domain == self.me.domain);
-        let placing = active::active(same_domain.map(|card| (card.rank(), &card.registration)));
-        let is_placing = placing.iter().any(|registration| registration.id == self.me.id);
-        let others = placing.into_iter().filter(|registration| registration.id != self.me.id);
-        let placing_peers = others.map(|registration| registration.peer_addr).collect();
+        let routing = active::active(same_domain.map(|card| (card.rank(), &card.registration)));
+        let is_routing = routing.iter().any(|registration| registration.id == self.me.id);
+        let others = routing.into_iter().filter(|registration| registration.id != self.me.id);
+        let routing_peers = others.map(|registration| registration.peer_addr).collect();
         state.fronts = Arc::new(fronts);
-        state.is_placing = is_placing;
-        state.placing_peers = placing_peers;
+        state.is_routing = is_routing;
+        state.routing_peers = routing_peers;
     }
 
     /// Checks this instance's own directory watch if another instance has lost the directory: a watch waits
--- a/src/gateway/control/changes.rs
+++ b/src/gateway/control/changes.rs
@@ -17,8 +17,9 @@
 /// How many peers of the same failure domain receive an update; each forwards it to as many, so that all
 /// have it after a few hops.
 const SAME_DOMAIN_FANOUT: usize = 3;
-/// One of this many instances also forwards an update to one peer of another failure domain: traffic between
-/// domains is billed, and the instance that read the update from the directory sends it to all domains.
+/// On average, one of this many instances also forwards an update to one peer of another failure domain:
+/// traffic between domains is billed, and the instance that read the update from the directory sends it to
+/// all domains.
 const OTHER_DOMAIN_FORWARD_ONE_IN: u32 = 4;
 /// In how many consecutive pushes a change is contained: a peer that missed one push catches up with the
 /// next, and one that missed more fetches the changes. With more repetition, each change of a list of
--- a/src/gateway/control/directory.rs
+++ b/src/gateway/control/directory.rs
@@ -258,13 +258,13 @@
     pub(super) fn apply_listing(&self, listing: Listing) {
         let now_ms = self.clock.now_ms();
         let mut upstreams = Vec::new();
-        let mut foreign = Vec::new();
+        let mut unusable = Vec::new();
         for record in listing.records {
             match record {
                 Record::Upstream(upstream) => upstreams.push(upstream),
                 Record::ForeignUpstream { id, detail } => {
                     self.log_unusable(&id, &detail);
-                    foreign.push(id);
+                    unusable.push(id);
                 }
                 record => self.apply_record(record),
             }
@@ -272,7 +272,7 @@
         let mut state = self.state.borrow_mut();
         slog::info!(self.log, "directory listed"; "revision" => listing.revision,
             "upstreams" => upstreams.len());
-        if state.fleet.replace(listing.revision, upstreams, &foreign, now_ms) {
+        if state.fleet.replace(listing.revision, upstreams, &unusable, now_ms) {
             state.has_fleet = true;
         }
         state.held_part.share = Share::ALL;
@@ -373,11 +373,11 @@
                 tokio::time::sleep(Duration::from_millis(pause_ms)).await;
                 continue;
             }
-            let kept = match lease {
+            let result = match lease {
                 Some(lease) => self.timed("renew", self.directory.renew(lease)).await,
                 None => self.register().await,
             };
-            match kept {
+            match result {
                 Ok(()) if self.is_stopping() => {}
                 Ok(()) => {
                     retry_ms = MAX_RETRY_MS;
--- a/src/gateway/control/duties.rs
+++ b/src/gateway/control/duties.rs
@@ -73,9 +73,9 @@
         let me = (state.membership.my_rank(), self.me.peer_addr);
         let alive = state.membership.alive();
         let alive = alive.map(|member| (member.card.rank(), member.card.registration.peer_addr));
-        let mut first = watchers::duty_candidates(alive.chain([me]));
-        first.retain(|addr| *addr != self.me.peer_addr);
-        first
+        let mut candidates = watchers::duty_candidates(alive.chain([me]));
+        candidates.retain(|addr| *addr != self.me.peer_addr);
+        candidates
     }
 
     fn usage_schedule(&self) -> Option<Schedule> {
@@ -90,13 +90,13 @@
         let mut retry_ms = MIN_RETRY_MS;
         loop {
             tokio::time::sleep(Duration::from_millis(CHECK_INTERVAL_MS)).await;
-            let kept = self.maintain_lease(duties).await;
-            let done = match kept {
+            let lease_result = self.maintain_lease(duties).await;
+            let duty_result = match lease_result {
                 Ok(()) => self.perform_duties(duties, &mut reported, &mut scaler).await,
                 Err(fault) => Err(fault),
             };
             self.publish_duties();
-            match done {
+            match duty_result {
                 Ok(()) => retry_ms = MIN_RETRY_MS,
                 Err(fault) => {
                     slog::info!(self.log, "duty failed; retrying"; "why" => %fault);
--- a/src/gateway/control/exchange.rs
+++ b/src/gateway/control/exchange.rs
@@ -51,14 +51,14 @@
         self.one_matching_peer_per_other_domain(state, |_| true)
     }
 
-    /// One random live peer of each other failure domain among those that satisfy `holds`.
+    /// One random live peer of each other failure domain among those that satisfy `matches`.
     pub(super) fn one_matching_peer_per_other_domain(
         &self,
         state: &ControlState,
-        holds: impl Fn(&Card) -> bool,
+        matches: impl Fn(&Card) -> bool,
     ) -> Vec<SocketAddr> {
         let cards = state.membership.alive().map(|member| &member.card);
-        let alive = cards.filter(|card| holds(card)).map(|card| &card.registration);
+        let alive = cards.filter(|card| matches(card)).map(|card| &card.registration);
         let mut other_domains: Vec<&Registration> =
             alive.filter(|other| other.domain != self.me.domain).collect();
         fastrand::shuffle(&mut other_domains);
@@ -144,9 +144,9 @@
             let sent = change.sent;
             let update = self.empty_load_update(&mut state);
             let update = LoadNews { held: change.held, sent, places: change.places, ..update };
-            let placing_peers = state.placing_peers.clone();
+            let routing_peers = state.routing_peers.clone();
             drop(state);
-            self.send(&Message::Loads(update), &placing_peers);
+            self.send(&Message::Loads(update), &routing_peers);
         }
     }
 
@@ -178,31 +178,31 @@
             sent_by_ended,
             ..self.empty_load_update(&mut state)
         };
-        let says_nothing = update.held.is_empty()
+        let is_idle = update.held.is_empty()
             && update.sent_by_ended.is_empty()
             && update.sent.iter().flatten().all(|sent| sent.requests + sent.repeats == 0);
-        if says_nothing && std::mem::replace(&mut state.has_reported_no_load, true) {
+        if is_idle && std::mem::replace(&mut state.has_reported_no_load, true) {
             return;
         }
-        state.has_reported_no_load = says_nothing;
-        let mut placing_peers = state.placing_peers.clone();
+        state.has_reported_no_load = is_idle;
+        let mut routing_peers = state.routing_peers.clone();
         drop(state);
-        fastrand::shuffle(&mut placing_peers);
-        placing_peers.truncate(FULL_LOAD_FANOUT);
-        self.send(&Message::Loads(update), &placing_peers);
+        fastrand::shuffle(&mut routing_peers);
+        routing_peers.truncate(FULL_LOAD_FANOUT);
+        self.send(&Message::Loads(update), &routing_peers);
     }
 
     /// Sends other failure domains a digest of this domain's load. The pause grows with the instances of this
     /// domain, so that together they send at a constant rate.
     pub(super) async fn send_digests(self: Rc<Control>) {
         loop {
-            let here = self.state.borrow().placing_peers.len() as u64 + 1;
-            let pause_ms = here * DIGEST_MS / 2 + fastrand::u64(..=here * DIGEST_MS);
+            let instances = self.state.borrow().routing_peers.len() as u64 + 1;
+            let pause_ms = instances * DIGEST_MS / 2 + fastrand::u64(..=instances * DIGEST_MS);
             tokio::time::sleep(Duration::from_millis(pause_ms)).await;
             let now_ms = self.clock.now_ms();
             let own = self.shared.own();
             let mut state = self.state.borrow_mut();
-            if !state.is_placing {
+            if !state.is_routing {
                 // This instance doesn't receive the load of the others.
                 continue;
             }
@@ -308,7 +308,7 @@
                 Rumor::Lost(id) => self.record_lost(&mut self.state.borrow_mut(), id, now_ms),
                 Rumor::Found(upstream) => self.add_rediscovered(upstream),
                 Rumor::Ended(end) => self.handle_end_report(end, now_ms),
-                Rumor::Crashes(told) => self.handle_crash_record(told),
+                Rumor::Crashes(record) => self.handle_crash_record(record),
             }
         }
         self.signal_membership_changes();
@@ -332,10 +332,10 @@
     fn handle_load_update(&self, update: LoadNews, now_ms: u64) {
         let mut state = self.state.borrow_mut();
         let sender = state.membership.get(&update.id);
-        let is_here = sender.is_some_and(|sender| {
+        let is_same_domain = sender.is_some_and(|sender| {
             sender.is_alive() && sender.card.registration.domain == self.me.domain
         });
-        if is_here && state.loads.hear(update, now_ms) {
+        if is_same_domain && state.loads.hear(update, now_ms) {
             self.dirty.notify_one();
         }
     }
@@ -347,11 +347,11 @@
         if !state.loads.hear_digest(digest, now_ms) {
             return;
         }
-        let placing_peers = state.placing_peers.clone();
+        let routing_peers = state.routing_peers.clone();
         drop(state);
         self.dirty.notify_one();
         if let Some(digest) = passed_on {
-            self.send(&Message::Digest(digest), &placing_peers);
+            self.send(&Message::Digest(digest), &routing_peers);
         }
     }
 }
--- a/src/gateway/control/fetch.rs
+++ b/src/gateway/control/fetch.rs
@@ -267,13 +267,13 @@
         fastrand::choice(others).unwrap_or(failed)
     }
 
-    /// A random live peer that satisfies `holds`, preferably of this failure domain.
+    /// A random live peer that satisfies `matches`, preferably of this failure domain.
     fn fetch_source(
         &self,
         state: &ControlState,
-        holds: impl Fn(&Member) -> bool,
+        matches: impl Fn(&Member) -> bool,
     ) -> Option<SocketAddr> {
-        let candidates = state.membership.alive().filter(|member| holds(member));
+        let candidates = state.membership.alive().filter(|member| matches(member));
         let candidates: Vec<&Registration> =
             candidates.map(|member| &member.card.registration).collect();
         let is_same_domain = |other: &&&Registration| other.domain == self.me.domain;
--- a/src/gateway/control/quarantine.rs
+++ b/src/gateway/control/quarantine.rs
@@ -26,7 +26,7 @@
             let left_ms = settles_ms.map(|at_ms| at_ms.saturating_sub(self.clock.now_ms()));
             tokio::select! {
                 () = self.shared.reported.notified() => {}
-                () = sleep_or_wait(left_ms) => {}
+                () = sleep_or_wait_forever(left_ms) => {}
             }
             for report in self.shared.take_reports() {
                 self.handle_report(report);
@@ -87,9 +87,9 @@
         let now_ms = self.clock.now_ms();
         let mut state = self.state.borrow_mut();
         let ControlState { quarantine, fleet, .. } = &mut *state;
-        let settled = quarantine.settle(&fleet.upstreams, now_ms);
+        let judged = quarantine.settle(&fleet.upstreams, now_ms);
         drop(state);
-        for (crash, judgement) in settled {
+        for (crash, judgement) in judged {
             self.log_crash(&crash, judgement);
             if judgement == Judgement::Quarantined {
                 self.store_record(crash.fingerprint);
@@ -194,7 +194,7 @@
     }
 }
 
-async fn sleep_or_wait(left_ms: Option<u64>) {
+async fn sleep_or_wait_forever(left_ms: Option<u64>) {
     match left_ms {
         Some(left_ms) => tokio::time::sleep(Duration::from_millis(left_ms)).await,
         None => std::future::pending().await,
--- a/tests/gateway/streams.rs
+++ b/tests/gateway/streams.rs
@@ -217,7 +217,7 @@
     }
     running.site.store.fail(siskinrock_fakes::store::Fault::None);
     wait_for("only what is listed counts again", async || {
-        running.gateways[0].logged().contains("count only as listed")
+        running.gateways[0].logged().contains("rediscovered engines dropped")
     })
     .await;
 }
