--- a/src/gateway/control.rs
+++ b/src/gateway/control.rs
@@ -42,7 +42,7 @@
 use super::policy::departures::Departures;
 use super::policy::found::Found;
 use super::policy::lease::{DutyLease, Holder};
-use super::policy::named_rates::NamedRates;
+use super::policy::named_rates::AdvertisedRates;
 use super::policy::quarantine::Quarantine;
 use super::policy::rate_limit::Limiter;
 use super::policy::subset::Share;
@@ -77,7 +77,7 @@
     /// The token buckets of which this instance is the owner for the whole fleet.
     limiter: Limiter,
     /// The rate limits that upstreams announced to any instance.
-    named_rates: NamedRates,
+    advertised_rates: AdvertisedRates,
     /// Upstreams that announced to any instance that they are shutting down.
     departures: Departures,
     /// Permit requests to other instances that are not answered yet, by number.
@@ -215,7 +215,7 @@
         };
         let contacts = settings.seeds.clone();
         let window_ms = settings.repeat_window_ms;
-        let lease_ms = directory.duties().map_or(0, |duties| duties.terms().lease_ms);
+        let lease_ms = directory.duties().map_or(0, |duties| duties.duty_settings().lease_ms);
         let state = ControlState {
             config: None,
             fleet: Fleet::default(),
@@ -226,7 +226,7 @@
             quarantine: Quarantine::default(),
             published_quarantine_version: 0,
             limiter: Limiter::default(),
-            named_rates: NamedRates::default(),
+            advertised_rates: AdvertisedRates::default(),
             departures: Departures::default(),
             pending_permits: BTreeMap::new(),
             last_permit_number: 0,
@@ -388,7 +388,7 @@
             lost: Arc::new(state.lost.keys().cloned().collect()),
             places: state.loads.places(),
             quarantine,
-            named_rates: state.named_rates.clone(),
+            named_rates: state.advertised_rates.clone(),
             departures: state.departures.clone(),
         };
         drop(before);
@@ -517,7 +517,9 @@
         let watching_peers =
             state.membership.alive().filter(|member| member.card.is_first_hand).count();
         let before = std::mem::replace(&mut state.watching_peers, watching_peers);
-        if watchers::doubts(before, watching_peers) && Control::has_working_watch(state) {
+        if watchers::should_check_directory(before, watching_peers)
+            && Control::has_working_watch(state)
+        {
             self.directory_check.notify_one();
         }
     }
--- a/src/gateway/control/changes.rs
+++ b/src/gateway/control/changes.rs
@@ -106,7 +106,7 @@
     /// of those that push them.
     fn part_changes_since(&self, state: &ControlState, since: u64) -> Vec<(SocketAddr, Changes)> {
         let is_pusher =
-            Control::has_working_watch(state) && self.turn_of(state).before < SHARE_PUSHERS;
+            Control::has_working_watch(state) && self.turn_of(state).ahead < SHARE_PUSHERS;
         if !is_pusher || state.held_part.large.is_empty() {
             return Vec::new();
         }
--- a/src/gateway/control/directory.rs
+++ b/src/gateway/control/directory.rs
@@ -11,7 +11,7 @@
 use super::super::metrics::Time;
 use super::super::policy::lease::Holder;
 use super::super::policy::subset::Share;
-use super::super::policy::watchers::{self, Turn};
+use super::super::policy::watchers::{self, WatchPosition};
 use super::{Control, ControlState};
 
 /// The pause after a first failed call; doubled with each further failure up to the maximum.
@@ -95,7 +95,7 @@
         let mut is_check = true;
         loop {
             let turn = self.turn();
-            if !turn.watches() {
+            if !turn.is_watcher() {
                 self.state.borrow_mut().is_watching = false;
                 slog::info!(self.log, "stopped watching the directory; other instances watch it";
                     "revision" => revision);
@@ -123,7 +123,7 @@
                     let has_any = !changes.records.is_empty() || !changes.removed.is_empty();
                     self.apply_changes(changes);
                     if has_any {
-                        tokio::time::sleep(Duration::from_millis(turn.gather_ms())).await;
+                        tokio::time::sleep(Duration::from_millis(turn.batch_delay_ms())).await;
                     }
                 }
                 Err(fault @ Fault::HistoryGone) => {
@@ -141,18 +141,21 @@
     }
 
     /// This instance's position among those that have a working directory watch.
-    fn turn(&self) -> Turn {
+    fn turn(&self) -> WatchPosition {
         self.turn_of(&self.state.borrow())
     }
 
-    pub(super) fn turn_of(&self, state: &ControlState) -> Turn {
+    pub(super) fn turn_of(&self, state: &ControlState) -> WatchPosition {
         let watching_peers = state.membership.alive().filter(|member| member.card.is_first_hand);
-        Turn::of(state.membership.my_rank(), watching_peers.map(|member| member.card.rank()))
+        WatchPosition::of(
+            state.membership.my_rank(),
+            watching_peers.map(|member| member.card.rank()),
+        )
     }
 
     /// The factor on the retry pause by rank, so that few instances call an unreachable directory often.
     fn retry_factor(&self) -> u64 {
-        Turn::patience(self.state.borrow().membership.before_me())
+        WatchPosition::backoff_factor(self.state.borrow().membership.before_me())
     }
 
     fn should_watch(&self) -> bool {
@@ -168,14 +171,15 @@
             // to compute its rank.
             let is_alone = state.membership.alive().next().is_none();
             let since_ms = if is_alone { MIN_SEED_PHASE_MS } else { WATCHERS_KNOWN_MS };
-            return now_ms >= since_ms && watchers::may_read(before_me, now_ms - since_ms);
+            return now_ms >= since_ms
+                && watchers::may_call_directory(before_me, now_ms - since_ms);
         }
         let is_settling = turn.others == 0 && now_ms < WATCHERS_KNOWN_MS;
-        if is_settling || !turn.watches() {
+        if is_settling || !turn.is_watcher() {
             return false;
         }
         let too_few_ms = state.too_few_watchers_since_ms.map_or(0, |since_ms| now_ms - since_ms);
-        watchers::may_read(before_me, too_few_ms)
+        watchers::may_call_directory(before_me, too_few_ms)
     }
 
     /// Whether this instance asks seeds when it starts; the seeds themselves do not.
@@ -400,7 +404,7 @@
         let state = self.state.borrow();
         let others = state.membership.alive().map(|member| member.card.rank());
         let knows_others = now_ms >= REGISTER_CHECK_MS || !self.has_seeds();
-        knows_others && watchers::registers(state.membership.my_rank(), others)
+        knows_others && watchers::should_register(state.membership.my_rank(), others)
     }
 
     fn is_stopping(&self) -> bool {
--- a/src/gateway/control/exchange.rs
+++ b/src/gateway/control/exchange.rs
@@ -94,7 +94,7 @@
         let is_reachable = Control::is_directory_reachable(&state);
         let watching_peers = state.membership.alive().filter(|member| member.card.is_first_hand);
         let watching = watching_peers.count() + usize::from(Control::has_working_watch(&state));
-        if watchers::are_enough(watching) {
+        if watchers::has_enough_watchers(watching) {
             state.too_few_watchers_since_ms = None;
         } else {
             state.too_few_watchers_since_ms.get_or_insert(now_ms);
@@ -104,7 +104,7 @@
         }
         state.loads.forget(now_ms);
         state.quarantine.forget(now_ms);
-        state.named_rates.forget(now_ms);
+        state.advertised_rates.forget(now_ms);
         state.departures.forget(now_ms);
     }
 
--- a/src/gateway/control/fetch.rs
+++ b/src/gateway/control/fetch.rs
@@ -124,7 +124,7 @@
             let services = state.fleet.upstreams.values().map(|upstream| &upstream.service);
             services.filter(|service| state.held_part.large.contains(*service))
         };
-        let share = request.share.unwrap_or_else(|| subset::first_share(large()));
+        let share = request.share.unwrap_or_else(|| subset::initial_share(large()));
         let part = Part { share, large: state.held_part.large.clone() };
         let holds = shares::holds(&request.id, &part);
         if request.since > 0 && request.after.is_empty() {
--- a/src/gateway/control/permits.rs
+++ b/src/gateway/control/permits.rs
@@ -51,7 +51,8 @@
         let now_ms = self.clock.now_ms();
         let alive = state.membership.alive().count() + 1;
         let silent = state.membership.silent_since(now_ms.saturating_sub(SILENT_MAYBE_ALIVE_MS));
-        let permit = state.limiter.ask(upstream, rate, Liveness { alive, silent }, now_ms);
+        let permit =
+            state.limiter.request_permit(upstream, rate, Liveness { alive, silent }, now_ms);
         self.metrics.count(match permit {
             Permit::Granted => "permits_granted",
             Permit::Wait { .. } => "permits_refused",
--- a/src/gateway/control/quarantine.rs
+++ b/src/gateway/control/quarantine.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use super::super::crash::{Crash, CrashRecord, EndedUnder};
+use super::super::crash::{Crash, CrashRecord, EarlyCrash};
 use super::super::fingerprint::Fingerprint;
 use super::super::membership::{Message, Rumor};
 use super::super::policy::quarantine::{Judgement, QUARANTINE_MS};
@@ -22,8 +22,8 @@
     /// ended.
     pub(super) async fn maintain_quarantine(self: Rc<Control>) {
         loop {
-            let settles_ms = self.state.borrow().quarantine.settles_ms();
-            let left_ms = settles_ms.map(|at_ms| at_ms.saturating_sub(self.clock.now_ms()));
+            let next_judgement_ms = self.state.borrow().quarantine.next_judgement_ms();
+            let left_ms = next_judgement_ms.map(|at_ms| at_ms.saturating_sub(self.clock.now_ms()));
             tokio::select! {
                 () = self.shared.reported.notified() => {}
                 () = sleep_or_wait_forever(left_ms) => {}
@@ -40,7 +40,7 @@
     /// Gossips which upstreams ended under runs that had just begun.
     fn gossip_ends(&self) {
         let mut state = self.state.borrow_mut();
-        for end in state.quarantine.take_ends() {
+        for end in state.quarantine.take_early_crashes() {
             state.membership.tell(Rumor::Ended(end));
         }
         drop(state);
@@ -48,10 +48,10 @@
     }
 
     /// Records such an end reported by a peer, and gossips it further if it was not known.
-    pub(super) fn handle_end_report(&self, end: EndedUnder, now_ms: u64) {
+    pub(super) fn handle_end_report(&self, end: EarlyCrash, now_ms: u64) {
         let mut state = self.state.borrow_mut();
         let Some(upstream) = state.fleet.upstreams.get(&end.upstream).cloned() else { return };
-        if state.quarantine.hear_end(&upstream, end.fingerprint, now_ms) {
+        if state.quarantine.note_early_crash(&upstream, end.fingerprint, now_ms) {
             state.membership.tell(Rumor::Ended(end));
             drop(state);
             self.rumors.notify_one();
@@ -87,7 +87,7 @@
         let now_ms = self.clock.now_ms();
         let mut state = self.state.borrow_mut();
         let ControlState { quarantine, fleet, .. } = &mut *state;
-        let judged = quarantine.settle(&fleet.upstreams, now_ms);
+        let judged = quarantine.judge_pending(&fleet.upstreams, now_ms);
         drop(state);
         for (crash, judgement) in judged {
             self.log_crash(&crash, judgement);
@@ -145,7 +145,7 @@
     /// Merges the record of a request. Returns whether this quarantines the request here.
     pub(super) fn merge_crash_record(&self, record: CrashRecord, from: &'static str) -> bool {
         let fingerprint = record.fingerprint;
-        let is_new = self.state.borrow_mut().quarantine.hear(record, self.clock.now_ms());
+        let is_new = self.state.borrow_mut().quarantine.merge_record(record, self.clock.now_ms());
         if is_new {
             self.log_quarantined(fingerprint, from);
         }
@@ -157,7 +157,7 @@
     fn publish_quarantine_changes(&self) {
         let now_ms = self.clock.now_ms();
         let mut state = self.state.borrow_mut();
-        let changed = state.quarantine.take_news(now_ms);
+        let changed = state.quarantine.take_updates(now_ms);
         if changed.is_empty() {
             return;
         }
@@ -171,7 +171,7 @@
     /// Sends the next batch of all records to some peers.
     pub(super) fn send_quarantine(&self, addrs: &[SocketAddr]) {
         let now_ms = self.clock.now_ms();
-        let batch = self.state.borrow_mut().quarantine.next_part(now_ms);
+        let batch = self.state.borrow_mut().quarantine.next_sync_batch(now_ms);
         if !batch.is_empty() {
             let rumors = batch.into_iter().map(Rumor::Crashes).collect();
             self.send(&Message::Rumors(rumors), addrs);
--- a/src/gateway/control/shares.rs
+++ b/src/gateway/control/shares.rs
@@ -9,7 +9,7 @@
 use super::super::fleet::Upstream;
 use super::super::loads::Part;
 use super::super::membership::Message;
-use super::super::policy::subset::{self, Holder, Share};
+use super::super::policy::subset::{self, InstanceSubset, Share};
 use super::super::policy::watchers;
 use super::{Control, ControlState};
 
@@ -52,14 +52,14 @@
     pub(super) fn suitable_share(state: &ControlState) -> Share {
         let services = state.fleet.upstreams.values().map(|upstream| &upstream.service);
         let large = services.filter(|service| state.held_part.large.contains(*service));
-        subset::share(large, state.held_part.share, state.membership.alive().count() + 1)
+        subset::suitable_share(large, state.held_part.share, state.membership.alive().count() + 1)
     }
 
     /// Recomputes which services are large, if this instance holds all upstreams.
     pub(super) fn update_large_services(state: &mut ControlState) {
         if state.held_part.share.is_all() {
             let services = state.fleet.upstreams.values().map(|upstream| &upstream.service);
-            state.held_part.large = subset::large(services, &state.held_part.large);
+            state.held_part.large = subset::large_services(services, &state.held_part.large);
         }
     }
 
@@ -73,7 +73,7 @@
         let before_me = state.membership.before_me();
         let instances = state.membership.alive().count() + 1;
         let share = state.held_part.share;
-        if watchers::keeps_all(before_me) {
+        if watchers::holds_all(before_me) {
             state.can_narrow_since_ms = None;
             if !share.is_all() && now_ms >= MEMBERSHIP_KNOWN_MS {
                 state.wanted_share = Some(Share::ALL);
@@ -85,7 +85,8 @@
             return;
         }
         let since_ms = *state.can_narrow_since_ms.get_or_insert(now_ms);
-        let is_settled = watchers::is_far_behind(before_me) || now_ms >= since_ms + NARROW_DELAY_MS;
+        let is_settled =
+            watchers::is_far_from_holding_all(before_me) || now_ms >= since_ms + NARROW_DELAY_MS;
         let suitable = Control::suitable_share(&state);
         let is_too_wide = suitable > share && (share.is_all() || suitable > share.narrower());
         if is_too_wide && is_settled && !state.is_watching && now_ms >= state.widened_until_ms {
@@ -151,7 +152,7 @@
 
 /// A predicate on an upstream's id and service: whether an instance with this part holds the upstream.
 pub(super) fn holds(instance: &str, part: &Part) -> impl Fn(&str, &str) -> bool + use<> {
-    let holder = Holder::new(instance);
+    let holder = InstanceSubset::new(instance);
     let Part { share, large } = part.clone();
     move |id, service| !large.contains(service) || holder.holds(id, share)
 }
--- a/src/gateway/control/signals.rs
+++ b/src/gateway/control/signals.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use super::super::membership::{Message, SignalNews};
-use super::super::rate::NamedRate;
+use super::super::rate::AdvertisedRate;
 use super::super::view::Signal;
 use super::{Control, ControlState};
 
@@ -16,7 +16,7 @@
             for signal in self.shared.take_signals() {
                 match signal {
                     Signal::Rate(upstream, rate) => self.record_and_send(SignalNews {
-                        rates: vec![NamedRate { upstream, rate, age_ms: 0 }],
+                        rates: vec![AdvertisedRate { upstream, rate, age_ms: 0 }],
                         ..SignalNews::default()
                     }),
                     Signal::Departure(departure) => self.record_and_send(SignalNews {
@@ -57,7 +57,7 @@
     /// Records what is new, and returns it.
     fn record_new(&self, state: &mut ControlState, mut update: SignalNews) -> Option<SignalNews> {
         let now_ms = self.clock.now_ms();
-        update.rates.retain(|rate| state.named_rates.note(rate, now_ms));
+        update.rates.retain(|rate| state.advertised_rates.note(rate, now_ms));
         update.departures.retain(|departure| state.departures.note(departure, now_ms));
         if update.is_empty() {
             return None;
@@ -70,7 +70,7 @@
     pub(super) fn send_signals_to_one_peer(&self) {
         let state = self.state.borrow();
         let update = SignalNews {
-            rates: state.named_rates.all(self.clock.now_ms()),
+            rates: state.advertised_rates.all(self.clock.now_ms()),
             departures: state.departures.all(),
             is_passed_on: false,
         };
