--- a/src/gateway/control/signals.rs
+++ b/src/gateway/control/signals.rs
@@ -1,4 +1,4 @@
-//! The controller of what upstreams ask for in their answers: it has all instances know.
+//! Distributes to all instances what upstreams announce in their answers: rate limits and departures.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -6,82 +6,82 @@
 use super::super::membership::{Message, SignalNews};
 use super::super::rate::AdvertisedRate;
 use super::super::view::Signal;
-use super::{Board, Control};
+use super::{Control, ControlState};
 
 impl Control {
-    /// Takes what traffic here brings.
-    pub(super) async fn keep_signals(self: Rc<Control>) {
+    /// Handles signals from this instance's request handling.
+    pub(super) async fn process_signals(self: Rc<Control>) {
         loop {
             self.shared.signalled.notified().await;
             for signal in self.shared.take_signals() {
                 match signal {
-                    Signal::Rate(upstream, rate) => self.take_news(SignalNews {
+                    Signal::Rate(upstream, rate) => self.record_and_send(SignalNews {
                         rates: vec![AdvertisedRate { upstream, rate, age_ms: 0 }],
                         ..SignalNews::default()
                     }),
-                    Signal::Departure(departure) => self.take_news(SignalNews {
+                    Signal::Departure(departure) => self.record_and_send(SignalNews {
                         departures: vec![departure],
                         ..SignalNews::default()
                     }),
-                    Signal::PermitWanted(request) => self.ask_permit(request),
+                    Signal::PermitWanted(request) => self.request_permit(request),
                     Signal::NoUpstreamLeft => self.widen_share(),
-                    Signal::UpstreamWanted(id) => self.ask_upstream(id),
+                    Signal::UpstreamWanted(id) => self.request_upstream(id),
                 }
             }
         }
     }
 
-    /// Takes in what an upstream said to this instance; all others hear of it if it is news.
-    fn take_news(&self, news: SignalNews) {
-        let mut board = self.board.borrow_mut();
-        let Some(news) = self.note_news(&mut board, news) else { return };
-        let near = self.near_peers(&board);
-        let far = self.one_of_each_other_domain(&board);
-        drop(board);
-        self.send(&Message::Signals(news.clone()), &near);
-        self.send(&Message::Signals(SignalNews { is_passed_on: true, ..news }), &far);
+    /// Records what an upstream announced to this instance, and sends it to all other instances if it is new.
+    fn record_and_send(&self, update: SignalNews) {
+        let mut state = self.state.borrow_mut();
+        let Some(update) = self.record_new(&mut state, update) else { return };
+        let same_domain = self.domain_peers(&state);
+        let other_domains = self.one_peer_per_other_domain(&state);
+        drop(state);
+        self.send(&Message::Signals(update.clone()), &same_domain);
+        self.send(&Message::Signals(SignalNews { is_passed_on: true, ..update }), &other_domains);
     }
 
-    /// Takes in what a peer was told; this failure domain hears of it if it is news and came from
-    /// another one.
-    pub(super) fn hear_signals(&self, news: SignalNews) {
-        let mut board = self.board.borrow_mut();
-        let Some(mut news) = self.note_news(&mut board, news) else { return };
-        let near = self.near_peers(&board);
-        drop(board);
-        if std::mem::take(&mut news.is_passed_on) {
-            self.send(&Message::Signals(news), &near);
+    /// Records what an upstream announced to a peer, and forwards it within this failure domain if it is new and
+    /// came from another domain.
+    pub(super) fn handle_signal_update(&self, update: SignalNews) {
+        let mut state = self.state.borrow_mut();
+        let Some(mut update) = self.record_new(&mut state, update) else { return };
+        let same_domain = self.domain_peers(&state);
+        drop(state);
+        if std::mem::take(&mut update.is_passed_on) {
+            self.send(&Message::Signals(update), &same_domain);
         }
     }
 
-    /// Notes what is news, and returns that.
-    fn note_news(&self, board: &mut Board, mut news: SignalNews) -> Option<SignalNews> {
+    /// Records what is new, and returns it.
+    fn record_new(&self, state: &mut ControlState, mut update: SignalNews) -> Option<SignalNews> {
         let now_ms = self.clock.now_ms();
-        news.rates.retain(|told| board.named_rates.note(told, now_ms));
-        news.departures.retain(|departure| board.departures.note(departure, now_ms));
-        if news.is_empty() {
+        update.rates.retain(|rate| state.advertised_rates.note(rate, now_ms));
+        update.departures.retain(|departure| state.departures.note(departure, now_ms));
+        if update.is_empty() {
             return None;
         }
         self.dirty.notify_one();
-        Some(news)
+        Some(update)
     }
 
-    /// Tells one living peer everything: messages may be lost, and it may have started since.
-    pub(super) fn tell_signals_to_one(&self) {
-        let board = self.board.borrow();
-        let news = SignalNews {
-            rates: board.named_rates.all(self.clock.now_ms()),
-            departures: board.departures.all(),
+    /// Sends everything known to one live peer: messages may have been lost, or the peer may have just started.
+    pub(super) fn send_signals_to_one_peer(&self) {
+        let state = self.state.borrow();
+        let update = SignalNews {
+            rates: state.advertised_rates.all(self.clock.now_ms()),
+            departures: state.departures.all(),
             is_passed_on: false,
         };
-        if news.is_empty() {
+        if update.is_empty() {
             return;
         }
         let alive: Vec<SocketAddr> =
-            board.membership.alive().map(|member| member.card.registration.peer_addr).collect();
-        drop(board);
+            state.membership.alive().map(|member| member.card.registration.peer_addr).collect();
+        drop(state);
         if let Some(addr) = fastrand::choice(alive) {
-            self.send(&Message::Signals(news), &[addr]);
+            self.send(&Message::Signals(update), &[addr]);
         }
     }
 }
