--- a/src/gateway/control/duties.rs
+++ b/src/gateway/control/duties.rs
@@ -1,5 +1,5 @@
-//! The controller of duties that one instance at a time has: it keeps the lease, gathers what all count,
-//! and reports it.
+//! Duties that only one instance may run at a time: holds the lease on them, collects the usage counts of all
+//! instances, reports usage, and orders workers.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -8,108 +8,108 @@
 use std::time::Duration;
 
 use super::super::directory::Fault;
-use super::super::duties::{DutyCalls, Fence, Report, Written};
+use super::super::duties::{CreateOutcome, DutyCalls, Fence, Report};
 use super::super::loads::UpstreamLoad;
 use super::super::membership::{Message, Phase};
-use super::super::policy::lease::{Action, Try};
-use super::super::policy::scaling::{Known, Order, Scaler, Seen};
-use super::super::policy::usage::{Schedule, UsageNews, Window};
+use super::super::policy::lease::{AcquireAttempt, Action};
+use super::super::policy::scaling::{Scaler, ServiceState, WorkerCounts, WorkerOrder};
+use super::super::policy::usage::{Schedule, UsageUpdate, Window};
 use super::super::policy::watchers;
 use super::super::view::DutyView;
-use super::{Board, Control};
+use super::{Control, ControlState};
 use crate::clock;
 
-/// How often it looks what is due.
-const LOOK_MS: u64 = 200;
-/// How often an instance tells what it counted.
-const TELL_MS: u64 = 500;
-/// How often one tells that counted nothing: its clock counts all the same.
-const TELL_NOTHING_MS: u64 = 4_000;
-/// The pause after a call that failed.
-const RETRY_MS: u64 = 300;
-/// The longest pause, where the platform answers none.
-const RETRY_MOST_MS: u64 = 2_000;
+/// How often the lease and the duties are checked.
+const CHECK_INTERVAL_MS: u64 = 200;
+/// How often an instance sends its usage counts.
+const SEND_INTERVAL_MS: u64 = 500;
+/// How often an instance without usage sends a message: its clock is still used to estimate the true time.
+const MAX_SEND_INTERVAL_MS: u64 = 4_000;
+/// The pause after a first failed call; doubled with each further failure up to the maximum.
+const MIN_RETRY_MS: u64 = 300;
+/// The maximum pause after failed calls, while the platform answers none.
+const MAX_RETRY_MS: u64 = 2_000;
 
 impl Control {
-    /// Has the first few in rank know what this instance counted.
-    pub(super) async fn tell_usage(self: Rc<Control>) {
+    /// Periodically sends this instance's usage counts to the instances that may hold the lease.
+    pub(super) async fn send_usage(self: Rc<Control>) {
         if self.usage_schedule().is_none() {
             return;
         }
-        let mut told_ms = 0;
+        let mut last_sent_ms = 0;
         loop {
-            tokio::time::sleep(Duration::from_millis(TELL_MS)).await;
+            tokio::time::sleep(Duration::from_millis(SEND_INTERVAL_MS)).await;
             let now_ms = self.clock.now_ms();
-            let mut board = self.board.borrow_mut();
+            let mut state = self.state.borrow_mut();
             for (organisation, began_ms) in self.shared.take_begun() {
-                board.counter.count(organisation, began_ms);
+                state.usage_counter.count(organisation, began_ms);
             }
-            let slots = board.counter.told(now_ms);
-            if slots.is_empty() && now_ms < told_ms + TELL_NOTHING_MS {
+            let slots = state.usage_counter.recent_slots(now_ms);
+            if slots.is_empty() && now_ms < last_sent_ms + MAX_SEND_INTERVAL_MS {
                 continue;
             }
-            told_ms = now_ms;
-            let news = UsageNews {
+            last_sent_ms = now_ms;
+            let update = UsageUpdate {
                 id: self.me.id.clone(),
                 incarnation: self.me.incarnation,
-                steady_ms: now_ms,
+                monotonic_ms: now_ms,
                 wall_ms: clock::wall_ms(),
                 slots,
             };
-            let addrs = self.duty_candidates(&board);
-            board.usage.hear(news.clone(), now_ms);
-            drop(board);
-            self.send(&Message::Usage(news), &addrs);
+            let addrs = self.duty_candidates(&state);
+            state.usage.apply(update.clone(), now_ms);
+            drop(state);
+            self.send(&Message::Usage(update), &addrs);
         }
     }
 
-    pub(super) fn hear_usage(&self, news: UsageNews) {
+    pub(super) fn handle_usage_update(&self, update: UsageUpdate) {
         let now_ms = self.clock.now_ms();
-        self.board.borrow_mut().usage.hear(news, now_ms);
+        self.state.borrow_mut().usage.apply(update, now_ms);
     }
 
     /// The other instances that may hold the lease.
-    fn duty_candidates(&self, board: &Board) -> Vec<SocketAddr> {
-        let me = (board.membership.own_rank(), self.me.peer_addr);
-        let alive = board.membership.alive();
+    fn duty_candidates(&self, state: &ControlState) -> Vec<SocketAddr> {
+        let me = (state.membership.own_rank(), self.me.peer_addr);
+        let alive = state.membership.alive();
         let alive = alive
             .map(|member| (member.descriptor.rank(), member.descriptor.registration.peer_addr));
-        let mut first = watchers::duty_candidates(alive.chain([me]));
-        first.retain(|addr| *addr != self.me.peer_addr);
-        first
+        let mut candidates = watchers::duty_candidates(alive.chain([me]));
+        candidates.retain(|addr| *addr != self.me.peer_addr);
+        candidates
     }
 
     fn usage_schedule(&self) -> Option<Schedule> {
-        self.directory.duties().and_then(|duties| duties.terms().usage)
+        self.directory.duties().and_then(|duties| duties.duty_settings().usage)
     }
 
-    /// Takes the lease if it is free and this instance may hold it, and does the duties while it does.
-    pub(super) async fn keep_duties(self: Rc<Control>) {
+    /// Takes the lease if it is free and this instance may hold it, and runs the duties while it holds it.
+    pub(super) async fn run_duties(self: Rc<Control>) {
         let Some(duties) = self.directory.duties() else { return };
         let mut reported = BTreeSet::new();
         let mut scaler = Scaler::default();
-        let mut retry_ms = RETRY_MS;
+        let mut retry_ms = MIN_RETRY_MS;
         loop {
-            tokio::time::sleep(Duration::from_millis(LOOK_MS)).await;
-            let kept = self.keep_lease(duties).await;
-            let done = match kept {
-                Ok(()) => self.do_duties(duties, &mut reported, &mut scaler).await,
+            tokio::time::sleep(Duration::from_millis(CHECK_INTERVAL_MS)).await;
+            let lease_result = self.maintain_lease(duties).await;
+            let duty_result = match lease_result {
+                Ok(()) => self.perform_duties(duties, &mut reported, &mut scaler).await,
                 Err(fault) => Err(fault),
             };
             self.publish_duties();
-            match done {
-                Ok(()) => retry_ms = RETRY_MS,
+            match duty_result {
+                Ok(()) => retry_ms = MIN_RETRY_MS,
                 Err(fault) => {
-                    slog::info!(self.log, "duty not done yet"; "why" => %fault);
+                    slog::info!(self.log, "duty failed; retrying"; "why" => %fault);
                     self.metrics.count("duty_faults");
                     tokio::time::sleep(Duration::from_millis(retry_ms)).await;
-                    retry_ms = (retry_ms * 2).min(RETRY_MOST_MS);
+                    retry_ms = (retry_ms * 2).min(MAX_RETRY_MS);
                 }
             }
         }
     }
 
-    async fn do_duties(
+    async fn perform_duties(
         &self,
         duties: &dyn DutyCalls,
         reported: &mut BTreeSet<u64>,
@@ -120,37 +120,38 @@
         usage.and(scaling)
     }
 
-    async fn keep_lease(&self, duties: &dyn DutyCalls) -> Result<(), Fault> {
+    async fn maintain_lease(&self, duties: &dyn DutyCalls) -> Result<(), Fault> {
         let now_ms = self.clock.now_ms();
         let action = {
-            let mut board = self.board.borrow_mut();
-            let before_me = board.membership.ranked_before_self();
-            let is_candidate = board.phase == Phase::Ready && watchers::may_hold(before_me);
-            let has_it = board.duty_lease.token(now_ms).is_some();
+            let mut state = self.state.borrow_mut();
+            let before_me = state.membership.ranked_before_self();
+            let is_candidate =
+                state.phase == Phase::Ready && watchers::is_duty_candidate(before_me);
+            let has_it = state.duty_lease.token(now_ms).is_some();
             if !is_candidate && !has_it {
                 return Ok(());
             }
-            board.duty_lease.next(before_me, fastrand::u64(1..1 << 53), now_ms)
+            state.duty_lease.next_action(before_me, fastrand::u64(1..1 << 53), now_ms)
         };
         match action {
             None => Ok(()),
-            Some(Action::Take { nonce }) => self.take_lease(duties, nonce).await,
+            Some(Action::Acquire { nonce }) => self.take_lease(duties, nonce).await,
             Some(Action::ReadBack) => {
                 let holder = duties.holder().await?;
                 let now_ms = self.clock.now_ms();
-                let mut board = self.board.borrow_mut();
-                board.duty_lease.note_read(holder.as_ref(), now_ms);
-                board.duty_holder = holder;
+                let mut state = self.state.borrow_mut();
+                state.duty_lease.note_read(holder.as_ref(), now_ms);
+                state.duty_holder = holder;
                 Ok(())
             }
             Some(Action::Renew { lease }) => {
                 let renewed = self.directory.renew(lease).await;
-                let mut board = self.board.borrow_mut();
+                let mut state = self.state.borrow_mut();
                 match renewed {
-                    Ok(()) => board.duty_lease.note_renewed(now_ms),
+                    Ok(()) => state.duty_lease.note_renewed(now_ms),
                     Err(Fault::LeaseEnded) => {
-                        slog::warn!(self.log, "lease of the duties has ended");
-                        board.duty_lease.note_ended(self.clock.now_ms());
+                        slog::warn!(self.log, "the lease on the duties has ended");
+                        state.duty_lease.note_ended(self.clock.now_ms());
                     }
                     Err(fault) => return Err(fault),
                 }
@@ -160,71 +161,71 @@
     }
 
     async fn take_lease(&self, duties: &dyn DutyCalls, nonce: u64) -> Result<(), Fault> {
-        let asked_ms = self.clock.now_ms();
-        let ttl_ms = self.board.borrow().duty_lease.ttl_ms();
+        let requested_ms = self.clock.now_ms();
+        let ttl_ms = self.state.borrow().duty_lease.ttl_ms();
         let lease = duties.grant(ttl_ms).await?;
-        let taken = Try { nonce, lease, asked_ms };
-        let written = duties.take(&self.me.id, nonce, lease).await;
+        let taken = AcquireAttempt { nonce, lease, requested_ms };
+        let written = duties.acquire(&self.me.id, nonce, lease).await;
         let now_ms = self.clock.now_ms();
-        let mut board = self.board.borrow_mut();
+        let mut state = self.state.borrow_mut();
         match written {
-            Ok(Written::Now(token)) => {
-                board.duty_lease.note_taken(taken, token);
+            Ok(CreateOutcome::Created(token)) => {
+                state.duty_lease.note_acquired(taken, token);
                 slog::info!(self.log, "duties taken over"; "token" => token);
                 self.metrics.count("duties_taken");
                 Ok(())
             }
-            Ok(Written::Before(holder)) => {
-                board.duty_lease.note_holder(Some(&holder), now_ms);
-                board.duty_holder = Some(holder);
+            Ok(CreateOutcome::Exists(holder)) => {
+                state.duty_lease.note_holder(Some(&holder), now_ms);
+                state.duty_holder = Some(holder);
                 Ok(())
             }
             Err(fault @ Fault::Refused { .. }) => Err(fault),
             Err(fault) => {
-                board.duty_lease.note_unsure(taken);
+                state.duty_lease.note_outcome_unknown(taken);
                 Err(fault)
             }
         }
     }
 
-    /// The right to act, if this instance has it at this moment.
+    /// The fence under which duty calls are made, if this instance holds the lease at this moment.
     fn fence(&self) -> Option<Fence> {
-        let token = self.board.borrow().duty_lease.token(self.clock.now_ms())?;
+        let token = self.state.borrow().duty_lease.token(self.clock.now_ms())?;
         Some(Fence { holder: self.me.id.clone(), token })
     }
 
-    /// Reports the windows that are due.
+    /// Reports the usage windows that are due.
     async fn report_usage(
         &self,
         duties: &dyn DutyCalls,
         reported: &mut BTreeSet<u64>,
     ) -> Result<(), Fault> {
-        let Some(schedule) = duties.terms().usage else { return Ok(()) };
+        let Some(schedule) = duties.duty_settings().usage else { return Ok(()) };
         if self.fence().is_none() {
             reported.clear();
             return Ok(());
         }
-        let true_ms = self.board.borrow().usage.true_ms(self.clock.now_ms());
-        let due: Vec<Window> = schedule.due(true_ms).collect();
+        let cluster_ms = self.state.borrow().usage.cluster_ms(self.clock.now_ms());
+        let due: Vec<Window> = schedule.due(cluster_ms).collect();
         let oldest = due.first().map_or(0, |window| window.number);
         reported.retain(|number| *number >= oldest);
         for window in due {
             if reported.contains(&window.number) {
                 continue;
             }
-            let report = self.report_of(duties, window).await?;
+            let report = self.stored_report(duties, window).await?;
             let Some(fence) = self.fence() else { return Ok(()) };
             match duties.send_report(fence, report).await {
                 Ok(()) => {
                     slog::info!(self.log, "usage reported"; "window" => window.number);
                     self.metrics.count("usage_reports");
                     reported.insert(window.number);
-                    self.board.borrow_mut().reported_window = Some(window.number);
+                    self.state.borrow_mut().reported_window = Some(window.number);
                 }
                 Err(Fault::Superseded) => {
-                    slog::warn!(self.log, "usage not reported: a later holder was seen";
+                    slog::warn!(self.log, "usage report rejected: the lease has a newer holder";
                         "window" => window.number);
-                    self.board.borrow_mut().duty_lease.note_ended(self.clock.now_ms());
+                    self.state.borrow_mut().duty_lease.note_ended(self.clock.now_ms());
                     return Ok(());
                 }
                 Err(fault) => return Err(fault),
@@ -233,28 +234,28 @@
         Ok(())
     }
 
-    /// The one report of a window: what an earlier holder stored, or else what is known now. It is
-    /// stored before it is sent, so that whoever takes over sends the same.
-    async fn report_of(&self, duties: &dyn DutyCalls, window: Window) -> Result<Report, Fault> {
-        let counts = self.board.borrow().usage.counted(window);
-        let report = duties.report(window.number, &counts);
+    /// The only report of a window: the one that an earlier holder stored, or else one of the present counts.
+    /// It is stored before it is sent, so that a later holder sends the same report.
+    async fn stored_report(&self, duties: &dyn DutyCalls, window: Window) -> Result<Report, Fault> {
+        let counts = self.state.borrow().usage.counts_in(window);
+        let report = duties.encode_report(window.number, &counts);
         match duties.store_report(window.number, report.clone()).await? {
-            Written::Now(_) => Ok(report),
-            Written::Before(stored) => {
-                slog::info!(self.log, "an earlier holder's report is sent again";
+            CreateOutcome::Created(_) => Ok(report),
+            CreateOutcome::Exists(stored) => {
+                slog::info!(self.log, "sending the report that an earlier holder stored";
                     "window" => window.number);
                 Ok(stored)
             }
         }
     }
 
-    /// Orders the workers that are wanted and not there.
+    /// Orders the workers that are needed and missing.
     async fn order_workers(
         &self,
         duties: &dyn DutyCalls,
         scaler: &mut Scaler,
     ) -> Result<(), Fault> {
-        if !duties.terms().orders_workers {
+        if !duties.duty_settings().orders_workers {
             return Ok(());
         }
         if self.fence().is_none() {
@@ -263,14 +264,14 @@
         }
         for order in self.due_orders(scaler) {
             let Some(fence) = self.fence() else { return Ok(()) };
-            let sent = duties.order(fence, &order).await;
+            let sent = duties.send_order(fence, &order).await;
             let now_ms = self.clock.now_ms();
-            slog::info!(self.log, "workers ordered"; "service" => &*order.subject.service,
-                "domain" => &*order.subject.domain, "spot" => order.subject.is_spot,
+            slog::info!(self.log, "workers ordered"; "service" => &*order.group.service,
+                "domain" => &*order.group.domain, "spot" => order.group.is_spot,
                 "desired" => order.desired, "fault" => sent.as_ref().err().map(ToString::to_string));
             match sent {
                 Ok(()) => scaler.note_sent(&order, true, now_ms),
-                Err(Fault::Superseded) => scaler.note_none_left(&order, now_ms),
+                Err(Fault::Superseded) => scaler.note_no_capacity(&order, now_ms),
                 Err(fault) => {
                     scaler.note_sent(&order, false, now_ms);
                     return Err(fault);
@@ -281,53 +282,54 @@
         Ok(())
     }
 
-    fn due_orders(&self, scaler: &mut Scaler) -> Vec<Order> {
+    fn due_orders(&self, scaler: &mut Scaler) -> Vec<WorkerOrder> {
         let now_ms = self.clock.now_ms();
-        let board = self.board.borrow();
-        let Some(config) = board.config.as_ref().filter(|_| board.has_fleet) else {
+        let state = self.state.borrow();
+        let Some(config) = state.config.as_ref().filter(|_| state.has_fleet) else {
             return Vec::new();
         };
         let own = self.shared.own();
         let mut orders = Vec::new();
         for (name, service) in &config.services {
-            let Some(terms) = &service.scaling else { continue };
+            let Some(policy) = &service.scaling else { continue };
             let memory_tokens = service.engine.as_ref().and_then(|engine| engine.memory_tokens);
             let Some(memory_tokens) = memory_tokens else { continue };
             let of_service = || {
-                let all = board.fleet.upstreams.values();
+                let all = state.fleet.upstreams.values();
                 all.filter(|upstream| upstream.service == *name)
             };
-            let mut workers: BTreeMap<(Arc<str>, bool), Seen> = BTreeMap::new();
+            let mut workers: BTreeMap<(Arc<str>, bool), WorkerCounts> = BTreeMap::new();
             for upstream in of_service() {
                 let key = (Arc::clone(&upstream.domain), upstream.is_spot);
                 let seen = workers.entry(key).or_default();
                 let counted = if upstream.is_leaving { &mut seen.leaving } else { &mut seen.ready };
                 *counted += 1;
             }
-            let held = board.loads.by_upstream();
+            let held = state.loads.by_upstream();
             let others = of_service().filter_map(|upstream| held.get(&upstream.id));
             let is_of_service = |held: &&UpstreamLoad| {
-                let upstream = board.fleet.upstreams.get(&held.upstream);
+                let upstream = state.fleet.upstreams.get(&held.upstream);
                 upstream.is_some_and(|upstream| upstream.service == *name)
             };
             let all = others.chain(own.loads.iter().filter(is_of_service));
             let tokens: u64 = all.map(|held| held.reserved_tokens).sum();
-            let filled = tokens as f64 / memory_tokens as f64;
-            let known = Known { service: name, terms, workers: &workers, filled };
-            orders.extend(scaler.step(&known, now_ms));
+            let demand_workers = tokens as f64 / memory_tokens as f64;
+            let service_state =
+                ServiceState { service: name, policy, workers: &workers, demand_workers };
+            orders.extend(scaler.step(&service_state, now_ms));
         }
         orders
     }
 
     fn publish_duties(&self) {
-        let board = self.board.borrow();
-        let token = board.duty_lease.token(self.clock.now_ms());
+        let state = self.state.borrow();
+        let token = state.duty_lease.token(self.clock.now_ms());
         let holder = match token {
             Some(_) => Some(self.me.id.clone()),
-            None => board.duty_holder.as_ref().map(|holder| holder.id.clone()),
+            None => state.duty_holder.as_ref().map(|holder| holder.id.clone()),
         };
-        let reported = board.reported_window;
-        drop(board);
+        let reported = state.reported_window;
+        drop(state);
         self.metrics.gauge("holds_duties", u64::from(token.is_some()));
         self.shared.set_duties(DutyView { holder, token, reported });
     }
--- a/src/gateway/membership/members.rs
+++ b/src/gateway/membership/members.rs
@@ -172,7 +172,7 @@
 
     /// The living members that hold the whole list of upstreams, judged by their rank.
     pub fn full_list_holders(&self) -> Vec<&Member> {
-        watchers::keepers(self.alive().map(|member| (member.descriptor.rank(), member)))
+        watchers::full_holders(self.alive().map(|member| (member.descriptor.rank(), member)))
     }
 
     /// The newest configuration version that any member has reported.
--- a/src/gateway/membership/message.rs
+++ b/src/gateway/membership/message.rs
@@ -8,7 +8,7 @@
 use super::super::fleet::{Departure, Upstream};
 use super::super::loads::{Changes, Digest, LoadUpdate};
 use super::super::policy::subset::Share;
-use super::super::policy::usage::UsageNews;
+use super::super::policy::usage::UsageUpdate;
 use super::super::rate::{AdvertisedRate, Permit, Rate};
 use super::descriptor::{InstanceDescriptor, Versions};
 use super::rumors::Rumor;
@@ -54,7 +54,7 @@
     /// Rate limits and departures that upstreams advertised in their responses.
     Signals(SignalUpdate),
     /// What the sender counted for the usage report.
-    Usage(UsageNews),
+    Usage(UsageUpdate),
 }
 
 /// Rate limits and departures that upstreams advertised to instances in their responses.
--- a/src/gateway/membership/rumors.rs
+++ b/src/gateway/membership/rumors.rs
@@ -6,7 +6,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::super::crash::{CrashRecord, EndedUnder};
+use super::super::crash::{CrashRecord, EarlyCrash};
 use super::super::fingerprint::Fingerprint;
 use super::super::fleet::Upstream;
 use super::descriptor::{InstanceDescriptor, MemberState};
@@ -43,7 +43,7 @@
     #[serde(rename = "Found")]
     Rediscovered(Upstream),
     /// An upstream ended while it ran a request that it had just begun.
-    Ended(EndedUnder),
+    Ended(EarlyCrash),
     /// A request crashed upstreams, or was cleared of that.
     Crashes(CrashRecord),
 }
@@ -54,7 +54,7 @@
     Member(Arc<str>),
     Lost(Arc<str>),
     Rediscovered(Arc<str>),
-    Ended(EndedUnder),
+    Ended(EarlyCrash),
     Crashes(Fingerprint),
 }
 
