--- a/src/gateway/policy/mod.rs
+++ b/src/gateway/policy/mod.rs
@@ -1,8 +1,8 @@
-//! The gateway's decisions: pure steps from what is known to what is done, and why.
+//! Policy decisions of the gateway: pure functions and state machines, without I/O.
 //!
-//! Nothing here knows a socket, a clock, a task or a log, so each decision can be driven by a test
-//! that owns time. The shell ([`super::traffic`], [`super::call`], [`super::stream`]) turns what
-//! arrives into their inputs and their outputs into calls; see [docs/DESIGN.md](../../../docs/DESIGN.md).
+//! Nothing here uses a socket, a clock, a task or a log, so tests can drive each decision with a
+//! simulated time. [`super::traffic`], [`super::call`] and [`super::stream`] supply the inputs and
+//! carry out the results; see [docs/DESIGN.md](../../../docs/DESIGN.md).
 
 pub mod active;
 pub mod admission;
