--- a/src/gateway/policy/active.rs
+++ b/src/gateway/policy/active.rs
@@ -1,15 +1,18 @@
-//! Which instances of a failure domain callers are sent to, and so place requests: a pure step.
+//! Selection of the instances of a failure domain that receive callers, and so place requests.
 //!
-//! Whoever places requests has to hear of the loads of all others that do, as soon as they change, and
-//! keeps connections to upstreams. So in a failure domain of hundreds of instances callers are sent to
-//! some of them, the same in the eyes of all; the others take over as these end.
+//! An instance that places requests must receive load updates from all others that do, as soon as
+//! loads change, and keeps connections to upstreams. In a failure domain with hundreds of
+//! instances, callers are therefore sent to only some of them. All instances compute the same set;
+//! others take over when members of the set end.
 
 use super::watchers::{self, Rank};
 
-/// The most instances of a failure domain that callers are sent to: as many as an answer names.
+/// Upper bound on the instances of a failure domain that callers are sent to: the number that an
+/// answer to a request for addresses names.
 const MOST_ACTIVE: usize = 64;
 
-/// The instances that callers are sent to, of those of one failure domain that take callers.
+/// Selects the instances that callers are sent to, from those of one failure domain that accept
+/// callers.
 pub fn active<T>(ready: impl Iterator<Item = (Rank, T)>) -> Vec<T> {
     watchers::first(MOST_ACTIVE, ready)
 }
