--- a/src/gateway/policy/budget.rs
+++ b/src/gateway/policy/budget.rs
@@ -1,18 +1,20 @@
-//! The bound on repeats of a service in a sliding window, over all instances.
+//! Budget for the repeats of a service over a sliding window, shared by all instances.
 //!
-//! All instances together may send a service so many repeats for its requests, and a few more.
-//! They tell each other what they sent. What others tell is late, and after a crash all repeat in
-//! the same moment, so each also keeps to a few times its own part.
+//! A repeat is any attempt at a request after its first one. All instances together may send a
+//! service a fixed ratio of repeats to requests, plus a fixed slack. Instances report to each other
+//! what they sent. These reports arrive late, and after a crash all instances repeat at the same
+//! moment, so each instance is also limited to a few times its own share.
 
 use std::collections::VecDeque;
 
-/// The part of the bound that is used: where most engines refuse, instances of other failure domains
-/// repeat for some hundred milliseconds before this one hears of it, a fifth of all in a window and more.
+/// Fraction of the budget that is used. Where most engines refuse requests, instances of other
+/// failure domains repeat for some hundred milliseconds before this one receives their reports: a
+/// fifth of all repeats in a window, or more.
 const USED: f64 = 0.75;
-/// Into how many steps the window is divided.
+/// Number of steps that the window is divided into.
 const STEPS: u64 = 10;
 
-/// What one instance sent to one service in the window.
+/// Requests and repeats that one instance sent to one service within the window.
 #[derive(Debug, Default)]
 pub struct Budget {
     steps: VecDeque<Step>,
@@ -25,27 +27,28 @@
     repeats: u64,
 }
 
-/// The bound over all instances.
+/// The limit for all instances together, and what the others have used of it.
 #[derive(Debug, Clone, Copy)]
 pub struct Bound {
-    /// Repeats for each request.
+    /// Repeats allowed for each request.
     pub ratio: f64,
-    /// Repeats beyond that.
+    /// Repeats allowed in addition.
     pub slack: f64,
-    /// The window.
+    /// Length of the window.
     pub window_ms: u64,
-    /// Among how many instances it is divided.
+    /// Number of instances that share the budget.
     pub instances: u32,
-    /// Requests that the others sent in the window.
+    /// Requests that the other instances sent within the window.
     pub others_requests: u64,
-    /// Repeats that the others sent in the window.
+    /// Repeats that the other instances sent within the window.
     pub others_repeats: u64,
 }
 
-/// How many times its own part an instance may take: losses are uneven, and so many are still
-/// under the bound if a third of the instances took as much at once.
+/// Upper bound on the repeats of one instance, as a multiple of its equal share. Losses are uneven;
+/// with this factor, a third of the instances can reach their bound at once and the total stays
+/// within the budget.
 const PARTS: f64 = 3.0;
-/// Repeats that each instance may always make while the sum allows it.
+/// Number of repeats that each instance may always send while the total allows it.
 const LEAST: f64 = 4.0;
 
 impl Budget {
@@ -54,7 +57,7 @@
         self.step(bound, now_ms).requests += 1;
     }
 
-    /// Counts a repeat, if the bound allows one.
+    /// Counts a repeat if the budget allows one; returns whether it does.
     pub fn repeat(&mut self, bound: Bound, now_ms: u64) -> bool {
         if !self.has_repeat(bound, now_ms) {
             return false;
@@ -63,7 +66,7 @@
         true
     }
 
-    /// Whether the bound allows one more repeat.
+    /// Whether the budget allows one more repeat.
     pub fn has_repeat(&mut self, bound: Bound, now_ms: u64) -> bool {
         self.step(bound, now_ms);
         let (requests, repeats) = self.sums();
@@ -75,8 +78,9 @@
         is_within_all && is_within_own
     }
 
-    /// Requests and repeats in the window. Upstreams count repeats in any span of its length, so the
-    /// step that is partly out of it counts whole; requests of that step don't.
+    /// Returns the requests and the repeats in the window. Upstreams count repeats in any interval
+    /// of the window's length, so the repeats of the step that lies only partly in the window count
+    /// in full; its requests do not.
     pub fn sums(&self) -> (u64, u64) {
         let newest = self.steps.back().map_or(0, |step| step.number);
         let is_in = |step: &&Step| step.number + STEPS > newest;
