--- a/src/gateway/policy/coincidence.rs
+++ b/src/gateway/policy/coincidence.rs
@@ -1,5 +1,5 @@
-//! Upstreams that ended lately, and whether one that ended under a request has a common cause with them:
-//! pure bookkeeping.
+//! Records upstreams whose processes ended recently, and decides whether a crash under a request
+//! has a common cause with the ends of other upstreams.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -8,48 +8,52 @@
 use super::super::fingerprint::Fingerprint;
 use super::super::fleet::Upstream;
 
-/// How long after a crash it is judged, when peers have told which other upstreams ended meanwhile.
+/// Delay between a crash and its judgement, in which peers report the other upstreams that ended.
 pub const SETTLE_MS: u64 = 350;
-/// How long before a crash the end of another upstream has the same cause.
+/// The end of another upstream up to this long before a crash counts as having the same cause.
 const COINCIDENT_MS: u64 = 150;
-/// Other upstreams whose ends have a common cause with a crash, at the least.
+/// Minimum number of other upstreams that must have ended for a common cause.
 const COINCIDENT_LEAST: usize = 2;
-/// The part of a failure domain's upstreams, one in so many, that ends for a common cause.
+/// A common cause within a failure domain requires that at least one in this many of the domain's
+/// upstreams of the service ended.
 const DOMAIN_PART: usize = 3;
-/// The part of a whole service's upstreams, one in so many, that does.
+/// A common cause for the whole service requires that at least one in this many of its upstreams
+/// ended.
 const SERVICE_PART: usize = 2;
-/// How long an end is remembered: a rumor of it is heard for a second or two, and is news only once.
+/// How long an end is remembered. Peers repeat the rumor of an end for a second or two, and only
+/// its first arrival counts.
 const END_KEPT_MS: u64 = 10_000;
-/// Ends that are remembered at the most.
+/// Upper bound on the ends that are remembered.
 const MOST_ENDS: usize = 1_024;
 
-/// An upstream that has ended.
+/// An upstream whose process has ended.
 #[derive(Debug, Clone)]
 struct End {
     upstream: Upstream,
     at_ms: u64,
-    /// Requests whose runs had just begun there, as far as instances told.
+    /// Requests whose runs had just begun there, as far as instances reported them.
     under: BTreeSet<Fingerprint>,
 }
 
-/// The upstreams that ended lately, as this instance and its peers saw it.
+/// The upstreams that ended recently, as observed by this instance and its peers.
 #[derive(Debug, Default)]
 pub struct Ends {
     known: VecDeque<End>,
 }
 
 impl Ends {
-    /// Notes that an upstream has ended, whatever ran there.
+    /// Records that an upstream has ended, whatever ran there.
     pub fn note(&mut self, upstream: &Upstream, now_ms: u64) {
         let end = self.end_of(upstream, now_ms);
-        // Under the same id, another incarnation of it may end later.
+        // Another incarnation with the same id may end later.
         if end.at_ms + SETTLE_MS + COINCIDENT_MS < now_ms {
             end.at_ms = now_ms;
             end.under.clear();
         }
     }
 
-    /// Notes that an upstream ended under a run that had just begun. Whether it is new.
+    /// Records that an upstream ended under a run that had just begun. Returns whether this was
+    /// unknown.
     pub fn note_under(
         &mut self,
         upstream: &Upstream,
@@ -73,8 +77,9 @@
         &mut self.known[index]
     }
 
-    /// Whether a crash has a common cause with other ends: a domain without power, a fault of the whole
-    /// service. Those for which `is_own` holds, and those under the same request, don't count as others.
+    /// Whether a crash has a common cause with other ends, such as a power failure of a domain or a
+    /// fault of the whole service. Upstreams for which `is_own` holds, and those that ended under
+    /// the same request, do not count as others.
     pub fn is_coincident(
         &self,
         crash: &Crash,
