--- a/src/gateway/policy/departures.rs
+++ b/src/gateway/policy/departures.rs
@@ -1,23 +1,25 @@
-//! Upstreams that said in an answer to any instance that they leave: pure bookkeeping.
+//! Records upstreams that announced in a response to any instance that they are leaving.
 //!
-//! The directory may be silent for seconds, and some upstreams never report to it that they leave.
+//! The directory may be unreachable for seconds, and some upstreams never report to it that they
+//! are leaving.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 use super::super::fleet::{Departure, Upstream};
 
-/// How long what an upstream said is remembered: longer than any planned stop of one lasts.
+/// How long an announcement is remembered: longer than any planned stop of an upstream takes.
 const KEPT_MS: u64 = 60_000;
 
-/// The upstreams that leave; cloning shares them.
+/// The upstreams that are leaving; clones share the data.
 #[derive(Debug, Clone, Default)]
 pub struct Departures {
     known: Arc<BTreeMap<Departure, u64>>,
 }
 
 impl Departures {
-    /// Notes what an upstream said to this instance or a peer. Returns whether it is news.
+    /// Records an announcement that was made to this instance or a peer. Returns whether it was
+    /// unknown.
     pub fn note(&mut self, departure: &Departure, now_ms: u64) -> bool {
         let is_news = !self.known.contains_key(departure);
         if is_news {
@@ -26,24 +28,25 @@
         is_news
     }
 
-    /// Forgets those that are gone for long.
+    /// Drops expired announcements.
     pub fn forget(&mut self, now_ms: u64) {
         if self.known.values().any(|until_ms| *until_ms <= now_ms) {
             Arc::make_mut(&mut self.known).retain(|_, until_ms| *until_ms > now_ms);
         }
     }
 
-    /// Whether an upstream said that it leaves; a later incarnation under its id did not.
+    /// Whether this incarnation of an upstream announced that it is leaving.
     pub fn holds(&self, upstream: &Upstream) -> bool {
         !self.known.is_empty() && self.known.contains_key(&Departure::of(upstream))
     }
 
-    /// Whether these are the same as others, told at once.
+    /// Whether both share the same data, so that neither has changed since one was cloned from the
+    /// other.
     pub fn is_same(&self, other: &Departures) -> bool {
         Arc::ptr_eq(&self.known, &other.known)
     }
 
-    /// All of them, to be told.
+    /// Returns all announcements, for a message to peers.
     pub fn all(&self) -> Vec<Departure> {
         self.known.keys().cloned().collect()
     }
