--- a/src/gateway/policy/engine.rs
+++ b/src/gateway/policy/engine.rs
@@ -1,69 +1,72 @@
-//! What a request costs a model engine and the requests that are there, in tokens: a pure model.
+//! Cost model for placing a request on a model engine, measured in tokens.
 //!
-//! An engine reads one prompt after the other, and while it reads, the tokens of all its requests
-//! come several times more slowly. Requests, copies and kept prompts share one memory; when it runs
-//! out, the newest request is put out and its prompt is read again. So what counts is how many
-//! tokens a request reads and holds, not how many requests there are. See
+//! An engine reads one prompt after another, and while it reads, all its requests produce tokens
+//! several times more slowly. Requests, copies and cached prompts share one memory. When the memory
+//! runs out, the newest request is preempted and its prompt is read again. The cost of a request
+//! therefore depends on the tokens that it reads and holds, not on the number of requests. See
 //! [docs/POLICY.md](../../../docs/POLICY.md).
 
-/// The part of the copies that come to be run: about one request in three loses its engine on a day
-/// with faults, and more where engines fall in turn.
+/// Fraction of the copies that are eventually run: on a day with faults about one request in three
+/// loses its engine, and more do where engines fail one after another.
 const COPY_USED_PART: f64 = 0.4;
-/// The part of an engine's memory up to which any engine is as good: what other instances place in
-/// the same moment, and what finished requests leave behind, needs the rest.
+/// Fraction of an engine's memory up to which its use adds no cost. The rest is needed for what
+/// other instances place at the same moment, and for what finished requests leave behind.
 const ROOMY_PART: f64 = 0.75;
-/// What a request that fills an engine's memory costs, in requests that it would slow: the one that
-/// is put out for it reads its prompt again and is late, the others are only slower for a while.
+/// Cost of a request that fills an engine's memory, in units of one slowed request: the request
+/// that is preempted for it reads its prompt again and is late, while the others are only slower
+/// for a while.
 const FULL_MEMORY_COST: f64 = 12.0;
-/// What waiting for one request to end costs, in requests slowed: it takes as long as a whole
-/// answer, several times as long as reading a prompt.
+/// Cost of waiting for one request to end, in units of one slowed request: the wait lasts as long
+/// as a whole answer, several times as long as reading a prompt.
 const SLOT_WAIT_COST: f64 = 4.0;
-/// The part of a prompt that counts as read however much of it an engine keeps: its last part is the
-/// request's own, and what was kept may have yielded since.
+/// Minimum fraction of a prompt that counts as read, however much of it is cached: its last part is
+/// unique to the request, and cached parts may have been evicted.
 const LEAST_READ_PART: f64 = 0.05;
 
-/// What a request needs of an engine.
+/// Resources that a request needs on an engine.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Need {
-    /// Tokens of its prompt; 0 for a request that no engine reads.
+    /// Number of tokens of its prompt; 0 for a request without a prompt to read.
     pub prompt_tokens: u64,
-    /// Tokens that it will make, as far as known.
+    /// Number of tokens that it will produce, as far as known.
     pub output_tokens: u64,
 }
 
 impl Need {
-    /// The memory that it takes by its end.
+    /// Memory that the request occupies when it ends, in tokens.
     pub fn memory_tokens(self) -> u64 {
         self.prompt_tokens.saturating_add(self.output_tokens)
     }
 }
 
-/// What is known of an engine's load.
+/// Known load of an engine.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Load {
-    /// Requests that run there or wait.
+    /// Number of requests that run or wait there.
     pub runs: f64,
-    /// Copies that lie there.
+    /// Number of copies of runs that are stored there.
     pub copies: f64,
     /// Tokens of prompts that it has yet to read.
     pub pending_tokens: u64,
-    /// Tokens of memory that requests and copies there take by their end.
+    /// Tokens of memory that its requests and copies will occupy when they end.
     pub reserved_tokens: u64,
-    /// Tokens of the prompt to be placed that it keeps.
+    /// Tokens of the prompt to be placed that it has cached.
     pub kept_tokens: u64,
-    /// Its memory, if that is announced.
+    /// Size of its memory in tokens, if configured.
     pub memory_tokens: Option<u64>,
-    /// Requests that it runs at once, if that is announced.
+    /// Number of requests that it runs at once, if configured.
     pub slots: Option<u32>,
 }
 
 impl Load {
-    /// Whether its memory holds a request or a copy beside all that is promised there.
+    /// Whether its memory has room for a request or a copy in addition to everything reserved
+    /// there.
     pub fn has_room(&self, need: Need) -> bool {
         self.full_part(need) <= 1.0
     }
 
-    /// What a request costs here, in requests slowed while a prompt like its own is read.
+    /// Cost of placing a request here, in units of one request slowed while a prompt of this length
+    /// is read.
     pub fn cost(&self, need: Need) -> f64 {
         self.runs
             + COPY_USED_PART * self.copies
@@ -73,7 +76,8 @@
             - self.kept_gain(need)
     }
 
-    /// Its first event comes after all prompts before it, measured in its own time of reading.
+    /// The first event comes after all pending prompts are read, measured in the reading time of
+    /// this request's own prompt.
     fn wait_cost(&self, need: Need) -> f64 {
         match need.prompt_tokens {
             0 => 0.0,
@@ -81,7 +85,7 @@
         }
     }
 
-    /// What it need not read slows nobody: neither itself nor those that run here.
+    /// Cached tokens need not be read, which slows neither this request nor those that run here.
     fn kept_gain(&self, need: Need) -> f64 {
         if need.prompt_tokens == 0 {
             return 0.0;
@@ -100,7 +104,7 @@
         FULL_MEMORY_COST * crowded_part.max(0.0)
     }
 
-    /// The part of its memory that is promised, with a request.
+    /// Fraction of its memory that is reserved, including this request.
     fn full_part(&self, need: Need) -> f64 {
         let Some(memory_tokens) = self.memory_tokens.filter(|tokens| *tokens > 0) else {
             return 0.0;
