--- a/src/gateway/policy/found.rs
+++ b/src/gateway/policy/found.rs
@@ -1,8 +1,8 @@
-//! Engines that were found again at their addresses while the directory was silent: pure steps.
+//! Engines that were rediscovered at their addresses while the directory was unreachable.
 //!
-//! An engine that crashes comes back as a new incarnation, which only the directory lists. While it
-//! is silent for seconds, engines that crash and come back would be missing one failure domain after
-//! the other, until none is left.
+//! An engine that crashes returns as a new incarnation, which only the directory lists. If the
+//! directory is unreachable for seconds, engines that crash and return would be missing in one
+//! failure domain after another, until none is left.
 
 use std::borrow::Cow;
 use std::collections::BTreeMap;
@@ -10,41 +10,42 @@
 
 use super::super::fleet::Upstream;
 
-/// How long what was found is kept after the directory's return: upstreams that lapsed meanwhile
-/// are listed again within two seconds, and whoever is missing then counts as gone.
+/// How long rediscovered engines are kept after the directory answers again. Upstreams whose
+/// entries lapsed meanwhile are listed again within two seconds; any that is still missing then
+/// counts as gone.
 const KEPT_MS: u64 = 1_900;
 
-/// Upstreams that the directory does not list yet.
+/// Rediscovered upstreams that the directory does not list yet.
 #[derive(Debug, Default)]
 pub struct Found {
     known: BTreeMap<Arc<str>, Upstream>,
     until_ms: Option<u64>,
-    /// Grows with each change of `known`.
+    /// Incremented at each change of `known`.
     changes: u64,
 }
 
 impl Found {
-    /// Adds an upstream; tells whether it is new.
+    /// Adds an upstream. Returns whether its id is new.
     pub fn add(&mut self, upstream: Upstream) -> bool {
         self.changes += 1;
         self.known.retain(|_, known| known.addr != upstream.addr || known.id == upstream.id);
         self.known.insert(Arc::clone(&upstream.id), upstream).is_none()
     }
 
-    /// Drops one that the directory says is gone.
+    /// Removes an upstream that the directory reports as gone.
     pub fn remove(&mut self, id: &str) {
         if self.known.remove(id).is_some() {
             self.changes += 1;
         }
     }
 
-    /// A number that differs from an earlier one if what is known does.
+    /// Change counter: as long as it stays the same, so do the rediscovered upstreams.
     pub fn changes(&self) -> u64 {
         self.changes
     }
 
-    /// Notes whether any instance hears from the directory. Tells whether what was found has just
-    /// ceased to count.
+    /// Updates whether any instance reaches the directory. Returns whether the rediscovered
+    /// upstreams have just expired.
     pub fn note_directory(&mut self, is_heard: bool, now_ms: u64) -> bool {
         if !is_heard || self.known.is_empty() {
             self.until_ms = None;
@@ -58,18 +59,19 @@
         true
     }
 
-    /// How many were found.
+    /// Number of rediscovered upstreams.
     pub fn len(&self) -> usize {
         self.known.len()
     }
 
-    /// Whether none was found.
+    /// Whether there are no rediscovered upstreams.
     pub fn is_empty(&self) -> bool {
         self.known.is_empty()
     }
 
-    /// The list with what was found: instead of whoever had the address before, and after what the
-    /// directory itself says. It is not copied while nothing is found, which is nearly always.
+    /// Merges the rediscovered upstreams into the directory's list. A rediscovered upstream
+    /// replaces the listed one at its address, but the directory's own entry for an id takes
+    /// precedence. Without rediscovered upstreams, which is the usual case, the list is not copied.
     pub fn merge<'a>(
         &self,
         listed: &'a BTreeMap<Arc<str>, Upstream>,
@@ -77,7 +79,7 @@
         if self.known.is_empty() {
             return Cow::Borrowed(listed);
         }
-        // Whoever was listed at the address since then came later.
+        // An entry that was listed at this address since then belongs to a later incarnation.
         let is_passed = |found: &Upstream| {
             let mut there = listed.values().filter(|known| known.addr == found.addr);
             there.any(|known| known.listed_at > found.listed_at)
