--- a/src/gateway/policy/hedge.rs
+++ b/src/gateway/policy/hedge.rs
@@ -1,22 +1,24 @@
-//! When a second attempt of a repeatable call starts while the first one is silent.
+//! Delay after which a repeatable call is hedged: a second attempt starts while the first one is
+//! still unanswered.
 //!
-//! An answer can be lost without a reset, and its caller then waits until its time is over for work
-//! that takes a few milliseconds. A second attempt at another upstream costs one run. It is made
-//! in time for the caller's objective, and only for the slowest few: a service that is slow for
-//! everybody gets no more than one call in twenty twice.
+//! An answer can be lost without a connection reset, and the caller would then wait until its
+//! timeout for work that takes a few milliseconds. A second attempt at another upstream costs one
+//! run. It starts early enough to meet the route's objective, and only for the slowest few calls:
+//! of a service that is slow for everybody, at most one call in twenty is sent twice.
 
 use super::latency::Latencies;
 
-/// The part of the answers that come before a second attempt is due, so that at most one in twenty
-/// calls is sent twice, however slow all are.
+/// Percentile of the latencies before which no call is hedged, so that at most one call in twenty
+/// is sent twice, however slow all are.
 const USUAL: f64 = 0.95;
-/// The second attempt itself should make the objective in so many of the cases.
+/// The hedge itself should meet the objective in this fraction of the cases.
 const LIKELY: f64 = 0.75;
 
-/// How long after the first attempt of a call a second one starts; `None` if none does.
+/// How long after its first attempt a call is hedged; `None` if it is not.
 ///
-/// It starts so late that the objective can still be met, and not before nearly all answers have
-/// come. Before enough is known, only a call that has lost its objective gets one.
+/// The hedge starts as late as the objective permits, but not before nearly all answers have
+/// arrived. While too few latencies are known, only a call that has already missed its objective is
+/// hedged.
 pub fn after_ms(known: &Latencies, objective_ms: u64) -> Option<u64> {
     let (Some(usual_ms), Some(likely_ms)) = (known.quantile(USUAL), known.quantile(LIKELY)) else {
         return (objective_ms > 0).then_some(objective_ms);
