--- a/src/gateway/policy/latency.rs
+++ b/src/gateway/policy/latency.rs
@@ -1,19 +1,19 @@
-//! What is known of how long something takes: quantiles of the last few hundred times.
+//! Quantiles of the last few hundred samples of a duration or a size.
 
 use hdrhistogram::Histogram;
 
-/// The longest time that is told apart; longer ones count as this.
+/// Upper bound on the values that are distinguished; larger ones count as this.
 const LONGEST: u64 = 120_000;
-/// One significant digit: a decision on patience needs no more, and a histogram then takes 1 KB.
+/// Significant digits: timeouts need no more precision, and a histogram then takes 1 KB.
 const DIGITS: u8 = 1;
-/// After so many a new span begins; the last two spans count. A service that turned slow is known
-/// to be after at most as many answers.
+/// Number of samples after which a new window begins; the last two windows count. So a slowdown of
+/// a service shows after at most this many answers.
 const SPAN: u64 = 200;
-/// Below this number nothing is said: the highest of twenty is a poor 95th percentile, and fewer
-/// tell nothing of it.
+/// Minimum number of samples for an estimate: with twenty, the largest one is already a poor 95th
+/// percentile, and with fewer there is no usable estimate.
 const LEAST: u64 = 20;
 
-/// Times in one unit, those of what never came with the time that was waited.
+/// Samples in one unit. A response that never arrived counts with the time that was waited for it.
 #[derive(Debug)]
 pub struct Latencies {
     now: Histogram<u32>,
@@ -29,7 +29,7 @@
 }
 
 impl Latencies {
-    /// Takes in a time; one of 0 counts as 1.
+    /// Adds a sample; 0 counts as 1.
     pub fn record(&mut self, value: u64) {
         if self.now.len() >= SPAN {
             std::mem::swap(&mut self.now, &mut self.before);
@@ -38,9 +38,9 @@
         self.now.saturating_record(value.clamp(1, LONGEST));
     }
 
-    /// The time within which a part of them came, from 0 to 1; `None` before enough are
-    /// known. The slower of the two spans counts, so that a slowdown is believed at once and its
-    /// end after a span.
+    /// Returns the value that a fraction of the samples, from 0 to 1, does not exceed; `None` while
+    /// there are too few. The larger of the two windows' values counts, so that a slowdown takes
+    /// effect at once and its end only after a whole window.
     pub fn quantile(&self, part: f64) -> Option<u64> {
         let is_enough = |span: &&Histogram<u32>| span.len() >= LEAST;
         let spans = [&self.now, &self.before];
