--- a/src/gateway/policy/losses.rs
+++ b/src/gateway/policy/losses.rs
@@ -1,33 +1,33 @@
-//! Lost upstreams, as signs for themselves and for their failure domains: pure bookkeeping.
+//! Recent losses of upstreams, and the suspicion that they cast on their failure domains.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// How long a loss counts for its upstream, and peers are told of it: the list of upstreams drops
-/// what is gone within this time.
+/// How long a loss counts for its upstream and is reported to peers: the list of upstreams drops a
+/// lost one within this time.
 const LOSS_COUNTS_MS: u64 = 4_000;
-/// How long a loss is a sign for its failure domain. When a whole domain falls, the engines that
-/// have work there are all found lost within 400 ms; one that nobody has found lost after twice
-/// that time lives, or has no work and is found by the next request.
+/// How long a loss casts suspicion on its failure domain. When a whole domain fails, the engines
+/// with work there are all detected as lost within 400 ms. One that nobody has detected as lost
+/// after twice that time is alive, or has no work and is checked by the next request.
 const DOMAIN_SIGN_MS: u64 = 800;
-/// So many upstreams of a service lost in one failure domain make the others there doubtful; fewer
-/// fail by themselves on an ordinary day.
+/// Minimum number of lost upstreams of a service in one failure domain that makes the others there
+/// suspected; fewer fail independently on an ordinary day.
 const DOMAIN_LOSSES: usize = 3;
 
-/// An upstream that was lost.
+/// The loss of an upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Loss {
-    /// Its service.
+    /// Service of the upstream.
     pub service: Arc<str>,
-    /// Its failure domain.
+    /// Failure domain of the upstream.
     pub domain: Arc<str>,
-    /// When this instance lost it or heard of it.
+    /// When this instance detected the loss or received the report of it.
     pub at_ms: u64,
-    /// Whether this instance found it lost, and not a peer.
+    /// Whether this instance detected the loss, rather than a peer.
     pub is_own: bool,
 }
 
-/// An upstream that is asked about.
+/// An upstream whose state is queried.
 #[derive(Debug, Clone, Copy)]
 pub struct Subject<'a> {
     /// Its id.
@@ -36,45 +36,45 @@
     pub service: &'a str,
     /// Its failure domain.
     pub domain: &'a str,
-    /// When it last showed that it lives.
+    /// When it last showed a sign of life.
     pub alive_ms: u64,
 }
 
-/// The losses of the last moments.
+/// Recent losses by upstream id.
 #[derive(Debug, Default)]
 pub struct Losses {
     known: BTreeMap<Arc<str>, Loss>,
 }
 
 impl Losses {
-    /// Notes a loss of this instance's own; it replaces what peers told.
+    /// Records a loss that this instance detected; it replaces one that a peer reported.
     pub fn note(&mut self, id: &Arc<str>, loss: Loss) {
         self.known.insert(Arc::clone(id), loss);
     }
 
-    /// Notes a loss that a peer told; told again, it is no newer.
+    /// Records a loss that a peer reported; a repeated report does not renew it.
     pub fn hear(&mut self, id: &Arc<str>, loss: Loss) {
         self.known.entry(Arc::clone(id)).or_insert(loss);
     }
 
-    /// Forgets what is too old, except upstreams for which `is_final` holds.
+    /// Drops expired losses, except those of upstreams for which `is_final` holds.
     pub fn forget(&mut self, now_ms: u64, is_final: impl Fn(&str) -> bool) {
         self.known.retain(|id, loss| loss.at_ms + LOSS_COUNTS_MS > now_ms || is_final(id));
     }
 
-    /// The upstreams that this instance itself lost, for its peers.
+    /// Returns the upstreams whose loss this instance detected itself, for reports to peers.
     pub fn own(&self) -> Vec<Arc<str>> {
         let own = self.known.iter().filter(|(_, loss)| loss.is_own);
         own.map(|(id, _)| Arc::clone(id)).collect()
     }
 
-    /// Whether an upstream was lost since it last showed that it lives.
+    /// Whether an upstream was lost after its last sign of life.
     pub fn is_lost(&self, subject: Subject<'_>) -> bool {
         self.known.get(subject.id).is_some_and(|loss| loss.at_ms >= subject.alive_ms)
     }
 
-    /// Whether so much of an upstream's failure domain was lost a moment ago, and since it last
-    /// showed that it lives, that it is likely lost too.
+    /// Whether so many upstreams of the same service and failure domain were lost within a short
+    /// time, and since this one's last sign of life, that it is probably lost too.
     pub fn is_domain_falling(&self, subject: Subject<'_>, now_ms: u64) -> bool {
         let is_sign = |loss: &&Loss| {
             *loss.domain == *subject.domain
