--- a/src/gateway/policy/outages.rs
+++ b/src/gateway/policy/outages.rs
@@ -1,72 +1,75 @@
-//! How long services were without any upstream, and when their callers should come back: pure
-//! bookkeeping.
+//! Durations of outages in which a service had no upstream, and the retry times that callers are
+//! given.
 //!
-//! A refusal costs its caller the wait that it names, and callers come back once or a few times
-//! only, so a time that ends before the upstreams are back loses the request. All upstreams of a
-//! service fail together by something larger than what fails one of them, so only earlier outages
-//! of the whole service tell how long this one may last.
+//! Callers retry only once or a few times, so a retry time that ends before the upstreams are back
+//! loses the request. When all upstreams of a service fail together, the cause is larger than what
+//! makes a single one fail, so only earlier outages of the whole service indicate how long this one
+//! may last.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
 use crate::decide::Random;
 
-/// How long an outage is expected to last while the service has had none: engines that all crashed
-/// at once were back after 5.0 s on two deployments; single ones are after 1.2 s.
+/// Expected duration of an outage while the service has had none: engines that all crashed at once
+/// were back after 5.0 s in two deployments, single ones after 1.2 s.
 const UNSEEN_MS: u64 = 5_000;
-/// How much later than the expected end callers come at the least: upstreams are listed within
-/// this time when they are back. It is also the shortest wait that is named.
+/// Minimum delay after the expected end of an outage: upstreams that are back are listed within
+/// this time. It is also the shortest retry time that is given.
 const LEAST_MS: u64 = 300;
-/// Over how much longer the callers of an outage are spread. Of 24 engines that are back, one to
-/// three are listed at once and the others within 0.9 s; those who come earlier meet there.
+/// Interval over which the callers of an outage are spread. Of 24 engines that are back, one to
+/// three are listed at once and the others within 0.9 s; callers that arrive earlier all go to
+/// those few.
 const SPREAD_MS: u64 = 1_000;
-/// Callers honour a wait of up to this part of the time that they have left.
+/// Callers accept a retry time of up to the time that they have left, divided by this.
 const HONOURED_PART: u64 = 3;
-/// How old the last loss may be to be the beginning of an outage, as long as a lost upstream is kept
-/// out; after that, the upstreams left in some other way.
+/// Maximum age of the last loss for it to count as the beginning of an outage: as long as a lost
+/// upstream is kept out. After a longer time, the upstreams left for another reason.
 const LOSS_BEGINS_MS: u64 = 5_000;
-/// Outages that are remembered for each service; the longest of them counts.
+/// Upper bound on the outages remembered for each service; the longest of them counts.
 const REMEMBERED: usize = 4;
 
-/// How long it takes until upstreams are listed of which an instance has not heard since its start:
-/// entries that lapsed in an outage of the directory are back within two seconds of its return.
+/// Expected time until upstreams are listed of a service of which this instance has seen none since
+/// it started: entries that lapsed in an outage of the directory are back within two seconds of its
+/// return.
 const UNLISTED_MS: u64 = 2_000;
-/// The part of a caller's patience after which it comes back to an instance that started while the
-/// directory is silent: nothing tells how long that lasts, and callers come back once or a few times
-/// only. A tenth leaves most callers the time for an answer that still serves them, and outlasts
-/// an outage of seconds where a fixed half second did not.
+/// An instance that started while the directory is unreachable tells its callers to retry after the
+/// time that they have left, divided by this. Nothing indicates how long the outage will last, and
+/// callers retry only once or a few times. A tenth leaves most callers enough time for a useful
+/// answer, and outlasts an outage of a few seconds, for which a fixed half second was too short.
 const STARTING_PART: u64 = 10;
-/// The least such wait, for callers with little patience, as far as they honour it.
+/// Minimum of that retry time, for callers with little time left, as far as they accept it.
 const STARTING_LEAST_MS: u64 = 800;
 
-/// The part of a caller's patience after which it comes back to engines that are full: of 25 s, 4 to
-/// 6 s, in which about half of what runs there has ended, and enough is left for a whole answer.
+/// Callers of full engines are told to retry after the time that they have left, divided by this.
+/// With 25 s left this is 4 to 6 s, in which about half of the running requests end, and enough
+/// time is left for a whole answer.
 const FULL_PART: u64 = 6;
-/// The part of a caller's patience for which an instance that has just started keeps its request
-/// until a configuration is there. Callers whose connections broke when all instances ended come
-/// within a second and have no further try: refused, what they have of an answer is lost. Of a
-/// patience of 25 s it is 3.1 s, in which the store or a peer has usually told; one of 2.5 s gets a
-/// third of a second. With a twentieth, 236 of 1,788 streams were refused where the store came back
-/// 1.3 s after 75 instances, with an eighth 40; a quarter serves some more calls, and brings
-/// so many callers at once that some 50 fewer streams are on time.
+/// An instance that has just started holds a request until a configuration arrives, for at most the
+/// caller's time divided by this. Callers whose connections broke when all instances ended return
+/// within a second and have no further retry; a refusal loses what they have of an answer. Of 25 s
+/// this is 3.1 s, in which the store or a peer has usually sent a configuration; of 2.5 s it is a
+/// third of a second. Where the store came back 1.3 s after 75 instances, holding for a twentieth
+/// refused 236 of 1,788 streams, and an eighth refused 40. A quarter serves some more calls, but
+/// releases so many callers at once that about 50 fewer streams are on time.
 const KEPT_PART: u64 = 8;
 
-/// How long an instance that has just started keeps a request of a caller that has `left_ms`, before
-/// it refuses it for want of a configuration.
+/// How long an instance that has just started holds a request of a caller that has `left_ms`,
+/// before it refuses the request for lack of a configuration.
 pub fn kept_ms(left_ms: u64) -> u64 {
     left_ms / KEPT_PART
 }
 
-/// When a caller that has `left_ms` should come back to an instance that has no configuration yet
-/// and to which the directory does not answer.
+/// Retry time for a caller that has `left_ms`, from an instance that has no configuration yet and
+/// can't reach the directory.
 pub fn starting_after_ms(left_ms: u64, random: &mut dyn Random) -> u64 {
     let wait_ms = (left_ms / STARTING_PART).max(STARTING_LEAST_MS);
     let spread_ms = random.below(wait_ms / 4 + 1);
     (wait_ms + spread_ms).min(left_ms / HONOURED_PART)
 }
 
-/// When a caller that has `left_ms` should come back to engines that are full. Their requests run for
-/// seconds, so that nothing is free before some have ended, and callers come back once only.
+/// Retry time for a caller that has `left_ms`, from a service whose engines are full. Requests run
+/// for seconds, so capacity is free only after some have ended, and callers retry only once.
 pub fn full_after_ms(left_ms: u64, random: &mut dyn Random) -> u64 {
     let wait_ms = (left_ms / FULL_PART).max(LEAST_MS);
     let spread_ms = random.below(wait_ms / 2 + 1);
@@ -83,20 +86,20 @@
 struct Service {
     last_lost_ms: Option<u64>,
     down_since_ms: Option<u64>,
-    /// Whether an upstream of it was ever known here.
+    /// Whether an upstream of the service was ever known here.
     was_seen: bool,
     lasted_ms: VecDeque<u64>,
 }
 
 impl Outages {
-    /// Notes that an upstream of a service was lost.
+    /// Records that an upstream of a service was lost.
     pub fn note_lost(&mut self, service: &Arc<str>, now_ms: u64) {
         let known = self.services.entry(Arc::clone(service)).or_default();
         known.last_lost_ms = Some(now_ms);
         known.was_seen = true;
     }
 
-    /// Notes that no upstream of a service is left; the outage began with the last loss.
+    /// Records that a service has no upstream left; the outage began with the last loss.
     pub fn note_down(&mut self, service: &Arc<str>, now_ms: u64) {
         let known = self.services.entry(Arc::clone(service)).or_default();
         let begins = |lost_ms: &u64| lost_ms + LOSS_BEGINS_MS >= now_ms;
@@ -104,7 +107,8 @@
         known.down_since_ms.get_or_insert(began_ms);
     }
 
-    /// Notes when an upstream of a service showed that it lives, which ends an outage before that.
+    /// Records when an upstream of a service showed a sign of life, which ends an outage that began
+    /// before.
     pub fn note_alive(&mut self, service: &str, alive_ms: u64) {
         let Some(known) = self.services.get_mut(service) else {
             let known = Service { was_seen: true, ..Service::default() };
@@ -122,7 +126,7 @@
         }
     }
 
-    /// When a caller that has `left_ms` should come back to a service, if it has no upstream.
+    /// Retry time for a caller that has `left_ms`, if the service has no upstream.
     pub fn retry_after_ms(
         &self,
         service: &str,
@@ -135,7 +139,8 @@
         let expected_ms = known.lasted_ms.iter().max().copied();
         let unseen_ms = if known.was_seen { UNSEEN_MS } else { UNLISTED_MS };
         let expected_ms = expected_ms.unwrap_or(unseen_ms);
-        // One that has outlasted all others is as likely to last long as it is old.
+        // An outage longer than all earlier ones is expected to last half as long again as it
+        // already has.
         let rest_ms = expected_ms.checked_sub(lasts_ms).unwrap_or(lasts_ms / 2);
         let honoured_ms = (left_ms / HONOURED_PART).max(LEAST_MS);
         Some((rest_ms + LEAST_MS + random.below(SPREAD_MS)).clamp(LEAST_MS, honoured_ms))
