--- a/src/gateway/policy/placement.rs
+++ b/src/gateway/policy/placement.rs
@@ -1,4 +1,4 @@
-//! Which upstream takes a request: a pure choice over what is known of each.
+//! Choice of the upstream for a request, from what is known of each.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,46 +9,48 @@
 use super::spread;
 use crate::decide::Random;
 
-/// By how many requests a slot's worth of load another failure domain must be better: bytes
-/// between domains are paid for, a busier engine slows every run on it.
+/// Cost of another failure domain, in units of one request's load: traffic between domains is paid
+/// for, but a busier engine slows every run on it.
 const DOMAIN_BONUS: f64 = 0.75;
-/// What an upstream that failed every request lately weighs, in requests.
+/// Cost of an upstream that failed every recent request, in requests.
 const FAILING_WEIGHT: f64 = 24.0;
 
-/// An upstream as the choice sees it.
+/// An upstream as input of the choice.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Candidate {
     /// Its id.
     pub id: Arc<str>,
     /// Its failure domain.
     pub domain: Arc<str>,
-    /// What it has to do.
+    /// Its known load.
     pub load: Load,
-    /// The part of the last requests that failed, 0 to 1.
+    /// Fraction of its recent requests that failed, 0 to 1.
     pub failing: f64,
-    /// Whether it was found silent or refusing a moment ago.
+    /// Whether it is suspected to be lost.
     pub is_suspect: bool,
 }
 
-/// What the choice must and should keep to.
+/// Requirements and preferences for the choice.
 #[derive(Debug, Clone, Default)]
 pub struct Constraints {
-    /// What the request needs of an engine.
+    /// Resources that the request needs on an engine.
     pub need: Need,
     /// Upstreams that must not be chosen.
     pub not: Vec<Arc<str>>,
-    /// Failure domains to keep away from, if others can take it.
+    /// Failure domains to avoid as long as others have a candidate.
     pub not_domains: Vec<Arc<str>>,
-    /// The failure domain of a run whose copy is placed: there, the copy falls with the run.
+    /// Failure domain of the run whose copy is placed: a copy there would be lost together with the
+    /// run.
     pub apart_from: Option<Arc<str>>,
-    /// The failure domain that costs least.
+    /// Failure domain with the lowest traffic cost.
     pub near: Option<Arc<str>>,
 }
 
-/// Upstreams at whose address another one was listed later, so that they are no more.
+/// Returns the upstreams at whose address another one was listed later, so that they no longer
+/// exist.
 ///
-/// An engine that crashes is back within a second or two under a new id, while its old entry
-/// lapses only after several missed heartbeats: each request sent to the old one is refused.
+/// An engine that crashes is back within a second or two under a new id, while its old entry lapses
+/// only after several missed heartbeats. Each request sent to the old entry is refused.
 pub fn superseded<'a>(upstreams: impl Iterator<Item = &'a Upstream> + Clone) -> Vec<Arc<str>> {
     let mut youngest: BTreeMap<SocketAddr, u64> = BTreeMap::new();
     for upstream in upstreams.clone() {
@@ -59,10 +61,12 @@
     upstreams.filter(is_superseded).map(|known| Arc::clone(&known.id)).collect()
 }
 
-/// The index of a good candidate; suspects only if nothing else is left.
+/// Chooses a good candidate and returns its index; suspected ones are chosen only if no other is
+/// left.
 ///
-/// The best one is likely and not certain, so that instances with the same picture don't meet; the less
-/// so, the more requests to the service others place `unseen`, before this instance hears of them.
+/// The choice is weighted at random, with the best candidate most likely, so that instances with
+/// the same information do not all choose the same one. The more requests to the service other
+/// instances place before this one receives their reports (`unseen`), the more even the weights.
 pub fn choose(
     candidates: &[Candidate],
     constraints: &Constraints,
@@ -89,10 +93,10 @@
     None
 }
 
-/// The weight of the best candidate, as a whole number.
+/// Scale that turns weights into whole numbers; the best candidate has this weight.
 const WEIGHT_UNIT: f64 = 1e6;
 
-/// Over any real load, so that such candidates are a last resort.
+/// Exceeds the cost of any real load, so that candidates with this cost are a last resort.
 const LAST_RESORT: f64 = 1e6;
 
 fn cost(candidate: &Candidate, constraints: &Constraints) -> f64 {
