--- a/src/gateway/policy/silence.rs
+++ b/src/gateway/policy/silence.rs
@@ -1,35 +1,36 @@
-//! How long an attempt of a stream may stay silent: a decision from what the engine says of the
-//! run itself.
+//! Decides whether a silent run stays at its engine, from the state that the engine reports.
 //!
-//! That an engine lives says nothing of one run there: its answer may have been lost on the way, or
-//! the run may have ended without a word. Its state names the runs that it works on, how much of
-//! each it has in memory and how many events it has made. So no time that was measured on one
-//! engine decides: a slow engine that still reads a prompt keeps the run, a quick one that has lost
-//! it does not.
+//! That an engine is alive does not mean that it still has the run: the answer may have been lost
+//! on the way, or the run may have ended without a message. The engine's state lists the runs that
+//! it works on, how many tokens of each are in memory, and how many events each has produced. The
+//! decision therefore does not depend on times measured on one engine: a slow engine that is still
+//! reading the prompt keeps the run, and a fast one that has lost it does not.
 
 use super::latency::Latencies;
 
-/// The pause that a route which declares none allows between events.
+/// Allowed pause between events on a route that declares none.
 const USUAL_GAP_MS: u64 = 700;
-/// Quiet for less than this says nothing: a message that was lost between domains and sent again
-/// at once, or a process that was late for its turn, takes as long.
+/// Minimum of the timeouts between events: a message that is lost between domains and sent again at
+/// once, or a process that is scheduled late, takes as long.
 const LEAST_QUIET_MS: u64 = 50;
-/// The objective of a route that declares none.
+/// Objective for the first event on a route that declares none.
 const USUAL_OBJECTIVE_MS: u64 = 4_500;
 
-/// How much longer than nearly all others a first event may take: the state of an engine doesn't
-/// tell whether a prompt that it holds is being read, so only the others tell.
+/// A first event is overdue after this multiple of the time that nearly all others took. An
+/// engine's state does not tell whether a prompt that it holds is being read, so only other
+/// requests give an estimate.
 const OVERDUE: f64 = 2.0;
-/// How often the time is doubled at the most.
+/// Upper bound on how often the time is doubled.
 const MOST_DOUBLINGS: u32 = 6;
-/// The part of first events that came sooner.
+/// Percentile of the first events that the estimate is based on.
 const NEARLY_ALL: f64 = 0.95;
 
-/// After which time the first event of a prompt is overdue at the next engine, from the
-/// microseconds that a token of others took; before enough is known, after twice the objective.
+/// Time after which the first event of a prompt is overdue at the next engine, from the
+/// microseconds per prompt token that other requests took. While too few are known, it is twice the
+/// objective.
 ///
-/// Each attempt before it doubles the time, so that a service that is slow for everybody gets a few
-/// repeats and no storm of them.
+/// Each earlier attempt doubles the time, so that a service that is slow for everybody causes a few
+/// repeats but no storm of them.
 pub fn overdue_ms(
     us_per_token: &Latencies,
     prompt_tokens: u64,
@@ -45,31 +46,31 @@
     overdue_ms.saturating_mul(1 << attempts.min(MOST_DOUBLINGS))
 }
 
-/// How long a stream of a route may be quiet before something is done about it: parts of what the
-/// route declares, since the pause that callers allow holds on every machine.
+/// How long a stream may be silent before each reaction. The timeouts are fractions of what the
+/// route declares, since the pause that callers allow does not depend on the machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Patience {
-    /// Before its first event, until the engine is asked: a fifth of the objective, so that an
-    /// answer that was lost at once still comes in time from elsewhere; not before the engine's
-    /// state can know of the run.
+    /// Before the first event, until the engine's state is requested: a fifth of the objective, so
+    /// that an answer that was lost at once can still come in time from elsewhere; but not before
+    /// the engine's state can include the run.
     pub first_ms: u64,
-    /// Between events, until the engine is asked: a fifth of the allowed pause. The question takes
-    /// another fifth, going on elsewhere up to two.
+    /// Between events, until the engine's state is requested: a fifth of the allowed pause. The
+    /// request takes another fifth, and resuming elsewhere up to two.
     pub gap_ms: u64,
-    /// The same while prompts are known to be read there, between two chunks of which events come
-    /// further apart: two fifths.
+    /// The same while the engine is known to be reading prompts, when events arrive further apart,
+    /// between two chunks of a prompt: two fifths.
     pub reading_gap_ms: u64,
-    /// Until a run with a copy elsewhere goes on there, although its engine lives, reads nothing
-    /// and has the run: what is left of the allowed pause suffices to go on.
+    /// Until a run with a copy elsewhere is resumed there, although its engine is alive, reads no
+    /// prompt and has the run: the rest of the allowed pause is enough to resume.
     pub stuck_ms: u64,
-    /// The same while it reads prompts: it works, and its events come late from all engines alike.
-    /// The whole pause: leaving earlier, 120 runs were taken from engines that read half as fast as
-    /// the usual ones, and worth fell by a third.
+    /// The same while the engine is reading prompts: it makes progress, and events are late from
+    /// all engines alike. This is the whole pause: with a shorter one, 120 runs were taken from
+    /// engines that read half as fast as usual, and the benefit fell by a third.
     pub stuck_reading_ms: u64,
 }
 
 impl Patience {
-    /// For a route that declares these; 0 is no declaration.
+    /// Timeouts for a route that declares these values; 0 stands for none.
     pub fn of(objective_ms: u64, gap_ms: u64) -> Patience {
         let or_usual = |declared, usual| if declared == 0 { usual } else { declared };
         let objective_ms = or_usual(objective_ms, USUAL_OBJECTIVE_MS);
@@ -84,35 +85,36 @@
     }
 }
 
-/// How old an engine's state may be: it is gathered now and then, a few times a second. A run that
-/// was sent or heard within this time before the question may be missing from it and be there.
+/// Maximum age of an engine's state, which is collected a few times a second. A run that was sent,
+/// or produced an event, less than this before the state was requested may be missing from it and
+/// still exist.
 const STATE_AGE_MS: u64 = 500;
-/// Over which time a run that is worked on shows it: several states, each with a chunk of its
-/// prompt or an event more.
+/// Time in which a run that is worked on shows progress: several states, each with one more chunk
+/// of its prompt or one more event.
 const PROGRESS_MS: u64 = 1_500;
 
 /// What an engine's state says of one run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Sighting {
-    /// It doesn't name runs.
+    /// The state lists no runs.
     Untold,
-    /// It doesn't name the run, and it has requests that have not made an event yet, of which this
-    /// may be one: a run is named from its first event on.
+    /// The run is not listed, but some requests have produced no event yet, and this may be one of
+    /// them: a run is listed from its first event on.
     MayWait,
-    /// It doesn't name the run, and all that it works on have made events.
+    /// The run is not listed, and all requests of the engine have produced events.
     Missing,
-    /// It names the run.
+    /// The run is listed.
     Listed {
         /// Tokens that it has in memory.
         tokens: u64,
-        /// Events that it has made.
+        /// Events that it has produced.
         events: u64,
     },
 }
 
-/// Whether an engine has put a run out of its memory, which made its first event there so long ago:
-/// its state names all that run, and the run waits behind the prompts of others to be read anew.
-/// Where a copy lies elsewhere, going on there at once keeps the allowed pause.
+/// Whether an engine has preempted a run that produced its first event there `since_first_ms` ago:
+/// the state lists all active runs but not this one, which waits behind other prompts to be read
+/// again. If there is a copy elsewhere, resuming there at once keeps the allowed pause.
 pub fn is_put_out(sighting: Sighting, since_first_ms: u64) -> bool {
     since_first_ms >= STATE_AGE_MS && sighting == Sighting::MayWait
 }
@@ -120,7 +122,7 @@
 /// What to do about a silent run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// Wait, and ask again.
+    /// Wait, and request the state again later.
     Wait,
     /// Leave the engine.
     Leave(Why),
@@ -129,21 +131,22 @@
 /// Why a silent run leaves its engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, derive_more::Display)]
 pub enum Why {
-    /// The engine doesn't have it any more.
+    /// The engine no longer has the run.
     #[display("the engine lives and has no such run")]
     Gone,
-    /// It makes events that do not arrive.
+    /// The run produces events that do not arrive.
     #[display("the run makes events and none arrives")]
     AnswerLost,
-    /// It has waited for its first event for longer than nearly all do, on this day and here.
+    /// The first event has taken much longer than nearly all others of the service, as recently
+    /// measured by this instance.
     #[display("its first event is overdue")]
     Overdue,
-    /// It is named and nothing becomes of it.
+    /// The run is listed but makes no progress.
     #[display("the run is there and makes no progress")]
     Standing,
 }
 
-/// What was seen of a run since something last came from it.
+/// What was observed of a run since it last sent something.
 #[derive(Debug, Clone, Copy)]
 pub struct Silence {
     since_ms: u64,
@@ -159,18 +162,18 @@
 }
 
 impl Silence {
-    /// A run that was heard a moment ago.
+    /// A run that has just sent something.
     pub fn new(now_ms: u64) -> Silence {
         Silence { since_ms: now_ms, overdue_ms: None, seen: None }
     }
 
-    /// A run that was sent a moment ago, and whose first event is overdue after a time; never if
-    /// there is no further attempt.
+    /// A run that was just sent, and whose first event is overdue after `overdue_ms`; never if
+    /// there can be no further attempt.
     pub fn before_first(now_ms: u64, overdue_ms: Option<u64>) -> Silence {
         Silence { since_ms: now_ms, overdue_ms, seen: None }
     }
 
-    /// Takes in what the engine's state, asked for at `asked_ms`, says of the run.
+    /// Judges the run by the engine's state, which was requested at `asked_ms`.
     pub fn see(&mut self, sighting: Sighting, asked_ms: u64) -> Verdict {
         if asked_ms < self.since_ms + STATE_AGE_MS {
             return Verdict::Wait;
