--- a/src/gateway/policy/sought.rs
+++ b/src/gateway/policy/sought.rs
@@ -1,23 +1,23 @@
-//! Which lost engines are looked for at their addresses while the directory is silent: pure steps.
+//! Lost engines to search for at their addresses while the directory is unreachable.
 //!
-//! A silence is noticed only seconds after it began, and engines that crashed just before it are
-//! listed by nobody. So losses are remembered while the directory is heard as well, as long as it
-//! still lists the engine.
+//! An outage of the directory is noticed only seconds after it began, and engines that crashed just
+//! before it have no entry for their next incarnation. Losses are therefore remembered also while
+//! the directory answers, for as long as it still lists the engine.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// How often one engine is looked for; what is not back within so long is gone for good.
+/// Maximum number of searches for one engine; one that is not back by then is gone for good.
 const MOST_LOOKS: u32 = 12;
 
-/// Lost engines, with how often each was looked for.
+/// Lost engines, with the number of searches for each.
 #[derive(Debug, Default)]
 pub struct Sought {
     looks: BTreeMap<Arc<str>, u32>,
 }
 
 impl Sought {
-    /// Notes engines that were lost, and forgets those that the directory lists no more.
+    /// Adds lost engines, and drops those that the directory no longer lists.
     pub fn note(
         &mut self,
         lost: impl IntoIterator<Item = Arc<str>>,
@@ -29,7 +29,7 @@
         self.looks.retain(|id, looks| *looks < MOST_LOOKS && is_listed(id));
     }
 
-    /// The engines to look for now; this counts as a look for each.
+    /// Returns the engines to search for now, and counts a search for each.
     pub fn due(&mut self) -> Vec<Arc<str>> {
         self.looks.values_mut().for_each(|looks| *looks += 1);
         self.looks.keys().cloned().collect()
