--- a/tests/gateway/silence.rs
+++ b/tests/gateway/silence.rs
@@ -1,5 +1,5 @@
-//! Requests that hear nothing from an upstream that lives, and upstreams that are no longer who the
-//! list says.
+//! Requests whose upstream is alive but silent, and upstreams that were replaced while still
+//! listed.
 
 use std::time::Instant;
 
@@ -11,8 +11,8 @@
 
 use crate::support::{self, call, plan, whole_text, working_engine};
 
-/// Streams were sent once and heard nothing until their callers left 18 s later, while their
-/// engine answered every question whether it lives.
+/// Guards against a stream that hangs because its engine has lost the run: the engine still reports
+/// that it is alive, so the stream was sent once and its caller left after 18 s without an event.
 #[tokio::test]
 async fn a_stream_whose_head_never_comes_is_read_elsewhere() {
     let running = support::start(1).await;
@@ -42,7 +42,7 @@
     assert_eq!(stream.text, whole_text(&sent, 0));
 }
 
-/// The run is resumed at an engine that loses it as well, before it has made an event there.
+/// The engine that the run is resumed at loses it as well, before it has produced an event.
 #[tokio::test]
 async fn a_stream_that_is_resumed_and_hears_nothing_goes_on() {
     let running = support::start_site(Site::start(2, 40).await, 1).await;
@@ -62,8 +62,8 @@
     assert!(engines[second].seen().iter().any(|seen| seen.from_copy));
 }
 
-/// A run that is put out of memory waits behind the prompts of others and reads its own again, for
-/// seconds; its copy holds all of it, and the pause that its caller allows is 700 ms.
+/// A preempted run waits behind other prompts and reads its own again, which takes seconds, while
+/// its caller allows a pause of 700 ms. The run must resume from its copy, which is complete.
 #[tokio::test]
 async fn a_stream_that_is_put_out_of_memory_goes_on_in_time() {
     let running = support::start_site(Site::start(2, 60).await, 1).await;
@@ -83,8 +83,9 @@
     assert!(pause_ms < 600, "{pause_ms}");
 }
 
-/// On a day on which most engines were leaving, runs left full engines that lived, whose state took
-/// longer than 130 ms, for others that were as full, and were cut.
+/// Guards against runs that leave a live engine because its state takes longer than 130 ms to
+/// arrive. While most engines were leaving, such runs went to engines that were as full, and their
+/// answers were truncated.
 #[tokio::test]
 async fn a_run_without_a_copy_stays_with_an_engine_that_is_late_with_its_state() {
     let site = Site::start(1, 450).await;
@@ -99,8 +100,9 @@
     assert!(running.gateways[0].logged().contains("engine asked once more whether it lives"));
 }
 
-/// The engine of an answer is lost, and all others are full for a moment: asked without a pause, four
-/// refused within 80 ms, and the answer was cut although its caller had twenty seconds left.
+/// Guards against truncated answers when the engine of an answer is lost and all others are full
+/// for a moment. Without a delay between attempts, four engines refused within 80 ms, and the
+/// answer was truncated although its caller had twenty seconds left.
 #[tokio::test]
 async fn an_answer_that_began_waits_for_room_elsewhere() {
     let running = support::start_site(Site::start(3, 60).await, 1).await;
@@ -122,8 +124,9 @@
     assert_eq!(stream.text, whole_text(&sent, 0));
 }
 
-/// What every engine refused is refused at once, with a time at which requests that run now have
-/// ended: callers come back once, and asked again and again the same engines refused as often.
+/// A request that every engine refused is refused at once, with a retry time by which some of the
+/// running requests have ended. Callers retry only once, and asking the same engines again and
+/// again leads to the same refusals.
 #[tokio::test]
 async fn what_every_engine_refuses_is_refused_at_once() {
     let running = support::start(1).await;
@@ -138,8 +141,8 @@
     assert!(engines.iter().all(|engine| engine.seen().len() <= 1), "each is asked once");
 }
 
-/// The engine lives and works on the request as far as it tells, and no event ever comes: its
-/// caller is served elsewhere, late, and not left waiting until its time is over.
+/// Guards against a stream that waits until its timeout at an engine that is alive and reports the
+/// run but never sends an event: it must be served elsewhere, even if late.
 #[tokio::test]
 async fn a_stream_whose_first_event_is_overdue_is_read_elsewhere() {
     let running = support::start(1).await;
@@ -154,9 +157,9 @@
     assert!(running.gateways[0].logged().contains("its first event is overdue"));
 }
 
-/// All engines stand still for a while, and more runs want to leave theirs than the budget of
-/// repeats allows. Who can't go on elsewhere stays: leaving first and asking for the repeat then cut
-/// answers whose engines lived.
+/// All engines stop producing events for a while, and more runs want to leave their engines than
+/// the budget of repeats allows. A run without a repeat must stay: when runs left before they asked
+/// for the repeat, answers were truncated although their engines were alive.
 #[tokio::test]
 async fn a_living_engine_is_left_only_with_a_repeat_in_hand() {
     const STREAMS: usize = 30;
@@ -190,7 +193,8 @@
     }
 }
 
-/// Look-ups were refused with 504 after the route's 1,200 ms, with two other upstreams unasked.
+/// Guards against a call that waits for a silent upstream until the route's timeout of 1,200 ms and
+/// fails with 504, while two other upstreams have not been tried.
 #[tokio::test]
 async fn a_silent_look_up_is_sent_to_a_second_upstream_in_time() {
     let running = support::start(1).await;
@@ -205,7 +209,8 @@
     }
 }
 
-/// Of two attempts one was refused late and the other one broke off: "not run" must hold for both.
+/// One of two attempts was refused late and the other one lost its connection: the answer may say
+/// "not run" only if it holds for both.
 #[tokio::test]
 async fn a_look_up_of_which_one_attempt_may_have_run_is_not_told_that_it_has_not() {
     let running = support::start(1).await;
@@ -222,8 +227,8 @@
     assert!(running.gateways[0].logged().contains("sent to a second upstream"));
 }
 
-/// A silent call that may not be repeated is sent once, and its caller hears at the route's bound
-/// that the outcome is unknown.
+/// A silent call that must not be repeated is sent once, and at the route's timeout its caller is
+/// told that the outcome is unknown.
 #[tokio::test]
 async fn a_silent_booking_is_sent_once_and_its_outcome_is_unknown() {
     let running = support::start(1).await;
@@ -236,8 +241,9 @@
     assert_eq!(running.runs_of(&sent.id), 1);
 }
 
-/// After an outage of the store the list named engines that had been replaced, and streams were
-/// refused as if the others were full: five answers 421 used up the route's five attempts.
+/// Guards against streams refused as if all engines were full: after an outage of the store the
+/// list named engines that had been replaced, and five answers 421 used up the route's five
+/// attempts.
 #[tokio::test]
 async fn answers_of_replaced_engines_use_up_no_attempt() {
     let running = support::start(1).await;
@@ -254,7 +260,7 @@
     assert_eq!(last.seen().iter().filter(|seen| seen.ran).count(), 4);
 }
 
-/// An engine's old entry stays for some heartbeats beside that of its next incarnation.
+/// The old entry of an engine stays for some heartbeats beside that of its next incarnation.
 #[tokio::test]
 async fn nothing_is_sent_to_an_entry_that_a_younger_one_followed() {
     let running = support::start(1).await;
@@ -276,7 +282,8 @@
     assert_eq!(refused(), before);
 }
 
-/// A process that starts again under its id holds nothing of before: who waits for it leaves.
+/// A process that restarts under its id has none of its previous runs, so a run that waits for it
+/// must leave.
 #[tokio::test]
 async fn a_run_leaves_an_engine_that_was_born_again_under_its_id() {
     let site = Site::start(2, 15).await;
@@ -303,7 +310,8 @@
     site.store.put(&format!("servers/{}", engine.id), &entry);
 }
 
-/// What another writer put under a key names no upstream to use; the others hold.
+/// An entry written by something else under an upstream's key names no usable upstream; other
+/// entries stay valid.
 #[tokio::test]
 async fn a_foreign_entry_takes_only_its_own_upstream_out() {
     let running = support::start(1).await;
@@ -326,8 +334,9 @@
     assert_eq!(service.seen().len(), before);
 }
 
-/// Callers whose connections broke when all instances ended came back with their last try, and
-/// were refused by instances that had no configuration for another second.
+/// Guards against requests refused by an instance that has just started: callers whose connections
+/// broke when all instances ended returned with their last retry, up to a second before there was a
+/// configuration.
 #[tokio::test]
 async fn a_starting_instance_keeps_a_request_until_it_has_a_configuration() {
     let mut running = support::start_site(Site::start(2, 15).await, 0).await;
@@ -344,7 +353,8 @@
     assert_eq!(stream.text, whole_text(&sent, 0));
 }
 
-/// Without a configuration in time, the refusal is true and names a time that the caller honours.
+/// If no configuration arrives in time, the request is refused, with a retry time that the caller
+/// accepts.
 #[tokio::test]
 async fn a_starting_instance_refuses_what_it_kept_in_vain() {
     let mut running = support::start_site(Site::start(1, 15).await, 0).await;
