--- a/tests/gateway/suspicion.rs
+++ b/tests/gateway/suspicion.rs
@@ -1,4 +1,4 @@
-//! Which requests are quarantined, by the pure bookkeeping: time and peers belong to the test.
+//! Quarantine decisions, tested with simulated time and peers.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -41,7 +41,7 @@
     Crash { fingerprint, upstream: engine(number), stage, event: 0, at_ms }
 }
 
-/// One crash, judged; whether the request is quarantined after it.
+/// Records one crash and judges it; returns whether the request is quarantined then.
 fn crashes(known: &mut Quarantine, fingerprint: Fingerprint, number: usize, at_ms: u64) -> bool {
     known.note_crash(crash(fingerprint, number, Stage::Begun, at_ms));
     known.settle(&engines(), at_ms + SETTLE_MS);
@@ -52,7 +52,7 @@
     known.suspects().get(&fingerprint).is_some_and(|suspect| suspect.until_ms.is_some())
 }
 
-/// Tells everything that one knows to another.
+/// Sends everything that one instance would report to another.
 fn tell(from: &mut Quarantine, to: &mut Quarantine, now_ms: u64) {
     for told in from.next_part(now_ms) {
         to.hear(told, now_ms);
@@ -69,7 +69,8 @@
     assert!(!is_quarantined(&known, request("other")));
 }
 
-/// One engine that ends takes all attempts there with it: a hedge and a copy are no second proof.
+/// An engine that ends takes all attempts there with it: a hedge or a copy there is no further
+/// evidence.
 #[test]
 fn one_engine_counts_once() {
     let mut known = Quarantine::default();
@@ -79,7 +80,7 @@
     }
 }
 
-/// The crashes of attempts through different instances add up, whoever tells whom.
+/// Crashes of attempts through different instances add up, in whichever order they are reported.
 #[test]
 fn crashes_add_up_over_instances() {
     let mut instances: Vec<Quarantine> = (0..3).map(|_| Quarantine::default()).collect();
@@ -96,7 +97,8 @@
     assert!(is_quarantined(first, poison));
 }
 
-/// Engines that end together have a common cause: a domain without power, or the whole service.
+/// Engines that end together have a common cause, such as a power failure of a domain or a fault of
+/// the whole service.
 #[parameterized(
     a_domain = { (0..ENGINES).step_by(DOMAINS.len()).collect() },
     half_of_all = { (0..ENGINES / 2 + 1).collect() },
@@ -117,7 +119,8 @@
     assert!(known.suspects().is_empty());
 }
 
-/// A request that ends engine after engine is no common cause for itself, however quick it is.
+/// Engines that end one after another under the same request are no common cause, however quickly
+/// they end.
 #[test]
 fn engines_that_ended_under_the_same_request_are_no_excuse() {
     let mut known = Quarantine::default();
@@ -129,8 +132,8 @@
     assert!(is_quarantined(&known, poison));
 }
 
-/// It is sent through many instances in the same moment, and each sees one engine end: without a word from
-/// the others, that would look like a fault of the whole service.
+/// A request is sent through many instances at the same moment, and each sees one engine end.
+/// Without reports from the others this would look like a fault of the whole service.
 #[test]
 fn a_request_that_comes_to_all_instances_at_once_is_no_common_cause() {
     const INSTANCES: usize = 14;
@@ -154,7 +157,7 @@
     assert!(is_quarantined(first, poison));
 }
 
-/// Requests that waited at an engine that another one ended are held to it far less.
+/// A request that waited at an engine which another request crashed counts for less.
 #[test]
 fn a_request_that_only_waited_needs_twice_as_many_crashes() {
     let mut known = Quarantine::default();
@@ -181,7 +184,8 @@
     assert_eq!(quarantine::stage_of_stream(answered_ms, events), expected);
 }
 
-/// Whoever lost engines and is served then starts anew; the others hear of it.
+/// A request that lost engines and is served afterwards has its crashes cleared, also at the other
+/// instances.
 #[parameterized(
     complete = { None },
     far_beyond = { Some(20) },
@@ -194,7 +198,7 @@
     crashes(&mut here, unlucky, 1, 2_000);
     tell(&mut here, &mut there, 2_500);
     here.clear_served(unlucky, event, 3_000);
-    // What the other one still tells of the crashes is void.
+    // Later reports of the old crashes from the other instance are ignored.
     tell(&mut there, &mut here, 3_010);
     assert!(here.suspects().is_empty());
     tell(&mut here, &mut there, 3_020);
@@ -202,7 +206,7 @@
     assert!(!crashes(&mut there, unlucky, 2, 4_000));
 }
 
-/// A run that crashes engines far into its answer gets as far each time.
+/// A run that crashes engines far into its answer gets equally far each time.
 #[test]
 fn a_run_that_only_gets_as_far_as_before_is_not_cleared() {
     let mut known = Quarantine::default();
@@ -228,7 +232,7 @@
     assert!(known.is_empty());
 }
 
-/// Two instances that tell each other on and on don't make a quarantine last longer.
+/// Two instances that keep reporting to each other do not extend a quarantine.
 #[test]
 fn telling_makes_no_quarantine_longer() {
     let mut here = Quarantine::default();
@@ -269,7 +273,8 @@
     assert!(!is_quarantined(&here, poison) && !is_quarantined(&there, poison));
 }
 
-/// Whatever callers send, memory and messages stay bounded, and a quarantine is not crowded out.
+/// Memory and messages stay bounded whatever callers send, and a quarantined request is not
+/// evicted.
 #[test]
 fn a_flood_of_crashes_stays_bounded() {
     const MOST: usize = 512;
@@ -288,7 +293,7 @@
     assert!(told.len() <= 16 && rmp_serde::to_vec(&told).unwrap().len() < 4_096);
 }
 
-/// What is told is read again as it was.
+/// A fingerprint is parsed back from its text unchanged.
 #[test]
 fn a_fingerprint_is_read_as_it_is_written() {
     let fingerprint = request("any");
@@ -296,7 +301,7 @@
     assert_eq!(Fingerprint::read("no fingerprint"), None);
 }
 
-/// Who asks and where each part ends are a part of what a request is.
+/// The fingerprint includes the organisation and the boundaries between the parts of a request.
 #[test]
 fn requests_of_others_are_others() {
     let of = |target: &str, organisation: Option<&str>, body: &'static [u8]| {
