--- a/tests/gateway/patience.rs
+++ b/tests/gateway/patience.rs
@@ -1,4 +1,4 @@
-//! The pure decisions on silence, second attempts, identity at an address, and when to come back.
+//! Decisions on silent runs, hedges, upstreams that share an address, and retry times.
 
 use std::sync::Arc;
 
@@ -33,8 +33,8 @@
     Sighting::Listed { tokens, events }
 }
 
-/// A run that was sent or heard at 1,000, its looks (what was seen, and when it was asked), and the
-/// verdict of the last one.
+/// A run that was sent or last heard at 1,000, its observations (what the state said, and when it
+/// was requested), and the verdict on the last one.
 #[parameterized(
     state_is_older_than_the_run = { &[(Sighting::Missing, 1_400)], Verdict::Wait },
     gone = { &[(Sighting::Missing, 1_900)], Verdict::Leave(Why::Gone) },
@@ -57,7 +57,7 @@
     assert_eq!(verdict, last);
 }
 
-/// A run is named from its first event on, as of some hundred milliseconds ago.
+/// A run is listed from its first event on, in a state that may be some hundred milliseconds old.
 #[parameterized(
     young = { Sighting::MayWait, 300, false },
     waits_again = { Sighting::MayWait, 500, true },
@@ -77,8 +77,8 @@
     assert_eq!(Silence::before_first(5, forever).see(Sighting::MayWait, 60_000), Verdict::Wait);
 }
 
-/// The same requests on machines that take ten times as long wait ten times as long, and each
-/// attempt doubles the patience.
+/// Requests on machines that take ten times as long get ten times as much time, and each attempt
+/// doubles it.
 #[test]
 fn a_first_event_is_overdue_by_what_others_took() {
     let known = |us_per_token: u64| {
@@ -121,8 +121,8 @@
     assert!(known.quantile(1.0).is_some());
 }
 
-/// Calls of one service, all ten times slower than before: second attempts stay few, far under the
-/// budget of repeats, and a silent call gets one in time for its objective while all is well.
+/// All calls of one service become ten times slower. Hedges must stay few, far below the budget of
+/// repeats, and while latencies are normal a silent call is hedged in time for its objective.
 #[test]
 fn a_slow_service_is_no_storm_of_second_attempts() {
     let bound = Bound {
@@ -170,8 +170,9 @@
     assert!(placement::superseded([].iter()).is_empty());
 }
 
-/// An engine that was found during an outage of the directory and crashed again stood for its next
-/// incarnation, which the directory had listed since: all streams sent to it were refused.
+/// Guards against refused streams after an engine that was rediscovered during an outage of the
+/// directory crashed again: its entry replaced the next incarnation, which the directory had listed
+/// since.
 #[test]
 fn what_was_found_yields_to_what_was_listed_later() {
     let mut fleet = Fleet::default();
@@ -208,7 +209,7 @@
     assert!(fleet.upstreams.is_empty());
 }
 
-/// What a server's entry must say to name one that can be used.
+/// What an entry of a server must contain to name a usable upstream.
 #[parameterized(
     usual = { r#"{"backend": "s", "address": "10.0.0.1:80", "zone": "z", "state": "ready"}"#, true },
     born = { r#"{"backend": "s", "address": "10.0.0.1:80", "zone": "z", "state": "draining", "born": 1790000000000}"#, true },
@@ -245,8 +246,9 @@
     assert!(outages::kept_ms(left_ms) * 8 <= left_ms, "a refusal comes early");
 }
 
-/// After an outage of the directory entries are back within two seconds, so a service of which an
-/// instance has not heard since its start is not expected to be away for five.
+/// After an outage of the directory, entries are back within two seconds. A service of which an
+/// instance has seen no upstream since its start is therefore expected back sooner than the five
+/// seconds of other outages.
 #[test]
 fn a_service_that_was_never_seen_is_soon_listed() {
     let service: Arc<str> = "plan".into();
@@ -261,7 +263,7 @@
     assert!((1_300..=6_300).contains(&after_ms), "{after_ms}");
 }
 
-/// A late request that came at 1,000 and has until 25,000.
+/// A late request that arrived at 1,000 and has until 25,000.
 #[parameterized(
     engines_are_idle = { Load { engines: 100, reading: 49 }, 1_000, true },
     half_of_them_read = { Load { engines: 100, reading: 50 }, 1_000, false },
@@ -283,8 +285,8 @@
     assert!(late.is_sent(Load { engines: 9, reading: 9 }, 5_000));
 }
 
-/// Instances that ask 600 engines after the loss of all: each engine is asked by a few of them, and
-/// nearly none by nobody.
+/// Instances that ask 600 engines after the loss of all instances: each engine is asked by a few of
+/// them, and almost none by nobody.
 #[parameterized(
     one = { 1, 1..=1 },
     nine = { 9, 4..=8 },
@@ -302,7 +304,8 @@
     assert!(asked.iter().filter(|asked| **asked == 0).count() <= 6, "engines asked by nobody");
 }
 
-/// Callers come back once or a few times: before anything has ended, they meet the same full engines.
+/// Callers retry only once or a few times: before any running request has ended, they would find
+/// the same engines full.
 #[parameterized(usual = { 25_000, 4_166, 6_250 }, short = { 1_500, 300, 500 }, nothing = { 0, 300, 300 })]
 fn a_full_service_names_a_time_that_its_callers_honour(left_ms: u64, least_ms: u64, most_ms: u64) {
     let mut random = fastrand::Rng::with_seed(3);
@@ -312,7 +315,7 @@
     }
 }
 
-/// A silence is noticed after seconds, and losses are told for less long.
+/// An outage of the directory is noticed after seconds, and losses are reported for a shorter time.
 #[test]
 fn engines_lost_before_the_silence_is_noticed_are_looked_for() {
     let mut sought = Sought::default();
