--- a/tests/gateway/decisions.rs
+++ b/tests/gateway/decisions.rs
@@ -1,4 +1,5 @@
-//! The gateway's pure steps: routes, the list of upstreams, placement, repeats, events.
+//! Decisions of the gateway as pure functions: routes, the list of upstreams, placement, repeats,
+//! events.
 
 use std::sync::Arc;
 
@@ -115,14 +116,15 @@
     assert!(taken.iter().all(|count| *count <= 3), "{taken:?}");
 }
 
-/// Two engines have just come back empty, and ten prompts arrive before any instance hears of another's:
-/// none may wait behind more than a few while engines that are hardly worse read nothing.
+/// Two engines have just returned empty, and ten prompts arrive before any instance receives
+/// another's report. No prompt may wait behind more than a few others while engines with little
+/// more load read nothing.
 #[test]
 fn what_others_place_unseen_spreads_a_choice() {
     let candidates: Vec<Candidate> = (0..24)
         .map(|index| candidate(&format!("e{index}"), "hall", if index < 2 { 0.0 } else { 1.5 }))
         .collect();
-    // The most prompts at one engine in each of forty rounds.
+    // The maximum number of prompts at one engine, for each of forty rounds.
     let most_at_one = |unseen| -> Vec<u32> {
         let round = |round: u64| {
             let mut taken = [0; 24];
@@ -167,8 +169,9 @@
     assert_eq!(choose(&candidates, &nobody, 0.0, &mut random), None);
 }
 
-/// A service counts repeats in any ten seconds. Counted in steps that were dropped whole, a tenth of
-/// them was forgotten up to a second too early: 663 were sent where 628 were allowed.
+/// Guards against repeats that are forgotten too early. Upstreams count repeats in any interval of
+/// ten seconds; when whole steps were dropped at once, a tenth of the repeats was forgotten up to a
+/// second too early, and 663 were sent where 628 were allowed.
 #[test]
 fn repeats_count_until_the_whole_window_has_passed() {
     let bound = Bound {
@@ -210,8 +213,8 @@
     assert!(later >= many, "the window has passed");
 }
 
-/// A copy falls with its run if it lies in the same failure domain, so a domain that lost engines
-/// a moment ago is better, and only engines that are likely gone are worse.
+/// A copy in the failure domain of its run is lost together with it. A domain that lost engines a
+/// moment ago is therefore preferred to that one; only engines that are probably lost are worse.
 #[parameterized(
     apart_from_the_run = { &["own", "lost", "clean"], "clean" },
     rather_where_engines_were_lost = { &["own", "lost"], "lost" },
@@ -323,7 +326,7 @@
     }
 }
 
-/// What one instance tells another brings it to the same list, whichever revision it had.
+/// A delta brings another instance to the same list, whichever revision it had.
 #[test]
 fn a_delta_brings_another_to_the_same_list() {
     let mut source = Fleet::default();
@@ -363,8 +366,8 @@
     assert_eq!(ids(&other), ["b"]);
 }
 
-/// Callers repeat a refused request once only, so the wait must outlast the outage: as long as the
-/// longest that was seen, and while none was, as long as such outages usually last.
+/// Callers retry a refused request only once, so the retry time must outlast the outage. It assumes
+/// the longest outage seen so far, or a typical duration if there was none.
 #[parameterized(
     unseen = { &[], 0, 25_000, 5_300, 6_300 },
     unseen_and_late = { &[], 4_000, 25_000, 1_300, 2_300 },
@@ -401,8 +404,8 @@
     assert!(2 * spread >= most_ms - least_ms, "they would all come back at once: {spread} ms");
 }
 
-/// Upstreams that leave long after the last one was lost did not go with it, and an upstream that
-/// answered before an outage began doesn't end it.
+/// Upstreams that leave long after the last loss did not go with it, and a sign of life from before
+/// an outage does not end it.
 #[test]
 fn an_outage_begins_with_the_last_loss_only_if_that_was_recent() {
     let service: Arc<str> = "plan".into();
