--- a/tests/gateway/engine.rs
+++ b/tests/gateway/engine.rs
@@ -1,4 +1,5 @@
-//! What requests cost an engine, in tokens: pure steps, and a load that is played against them.
+//! Cost of requests on an engine, in tokens: the cost model, and a simulated load that is placed by
+//! it.
 
 use siskinrock::gateway::policy::engine::{Load, Need};
 use siskinrock::gateway::policy::placement::{Candidate, Constraints, choose};
@@ -37,7 +38,8 @@
     assert!(Load { kept_tokens: u64::MAX, ..idle }.cost(need).is_finite());
 }
 
-/// Bad input must not turn a choice round: no prompt, no memory announced, or numbers beyond sense.
+/// Invalid input must not reverse a choice: no prompt, no configured memory, or absurdly large
+/// numbers.
 #[test]
 fn numbers_without_sense_change_nothing() {
     let nothing = Need::default();
@@ -59,9 +61,9 @@
     assert_eq!((engine.memory_tokens, engine.slots), (Some(55_000), Some(24)));
 }
 
-/// A load of short and long prompts that fills half of the engines' memory. Counted by requests
-/// alone, 17 of 400 met an engine without room; counted by tokens, none does, so that nobody is put
-/// out of memory and reads its prompt again.
+/// A load of short and long prompts that fills half of the engines' memory. Placed by the number of
+/// requests alone, 17 of 400 met an engine without room. Placed by tokens none does, so that no
+/// request is preempted and reads its prompt again.
 #[test]
 fn mixed_prompts_that_fit_are_placed_where_they_fit() {
     assert_eq!(placed_without_room(true), 0);
@@ -69,7 +71,7 @@
     assert!(by_requests > 10, "the load is hard enough to tell: {by_requests}");
 }
 
-/// How many of a load of requests were placed at engines whose memory did not hold them.
+/// Returns how many requests of a load were placed on engines whose memory had no room for them.
 fn placed_without_room(is_announced: bool) -> usize {
     const ENGINES: usize = 24;
     const REQUESTS: usize = 400;
