--- a/tests/gateway/load.rs
+++ b/tests/gateway/load.rs
@@ -1,4 +1,5 @@
-//! A load of calls and streams over all instances of a test's site, and what its callers got.
+//! Sends a load of calls and streams to all instances of a test's site, and records what its
+//! callers received.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -7,14 +8,15 @@
 
 use crate::support::{Running, call};
 
-/// The pause between two calls: fourteen times as many as an upstream takes that names 6 a second.
+/// Interval between calls, which gives fourteen times as many as an upstream accepts that limits
+/// itself to 6 a second.
 pub const CALL_EVERY: Duration = Duration::from_millis(12);
-/// The pause between two streams.
+/// Interval between streams.
 pub const STREAM_EVERY: Duration = Duration::from_millis(30);
-/// How long a refusal may take: it is given at once.
+/// Maximum duration of a refusal, which is sent at once.
 pub const AT_ONCE: Duration = Duration::from_millis(400);
 
-/// What a caller got.
+/// What a caller received.
 pub struct Got {
     pub id: String,
     pub status: u16,
@@ -22,7 +24,7 @@
     pub took: Duration,
 }
 
-/// Sends one, and reads a stream to its end.
+/// Sends one request, and reads a stream to its end.
 pub async fn ask(front: SocketAddr, sent: Call) -> Got {
     let since = Instant::now();
     let is_stream = sent.part.is_some();
@@ -36,7 +38,7 @@
     Got { id: sent.id, status: answer.status(), retry_after_s, took: since.elapsed() }
 }
 
-/// Sends calls to all instances by chance until a time.
+/// Sends calls to randomly chosen instances until a given time.
 pub async fn play(
     running: &Running,
     every: Duration,
