--- a/src/gateway/control.rs
+++ b/src/gateway/control.rs
@@ -472,7 +472,8 @@
             let ranked = (card.rank(), &card.registration);
             domains.entry(&card.registration.domain).or_default().push(ranked);
         }
-        let active = domains.into_values().flat_map(|ranked| active::active(ranked.into_iter()));
+        let active =
+            domains.into_values().flat_map(|ranked| active::active_instances(ranked.into_iter()));
         let front = |registration: &Registration| Front {
             addr: registration.front_addr,
             domain: Arc::clone(&registration.domain),
@@ -480,7 +481,7 @@
         let fronts = active.map(front).collect();
         let near = board.membership.alive().map(|member| &member.card).chain([me]);
         let near = near.filter(|card| card.registration.domain == self.me.domain);
-        let placing = active::active(near.map(|card| (card.rank(), &card.registration)));
+        let placing = active::active_instances(near.map(|card| (card.rank(), &card.registration)));
         let is_placing = placing.iter().any(|registration| registration.id == self.me.id);
         let others = placing.into_iter().filter(|registration| registration.id != self.me.id);
         let placing_near = others.map(|registration| registration.peer_addr).collect();
--- a/src/gateway/policy/active.rs
+++ b/src/gateway/policy/active.rs
@@ -9,10 +9,10 @@
 
 /// Upper bound on the instances of a failure domain that callers are sent to: the number that an
 /// answer to a request for addresses names.
-const MOST_ACTIVE: usize = 64;
+const MAX_ACTIVE_INSTANCES: usize = 64;
 
 /// Selects the instances that callers are sent to, from those of one failure domain that accept
 /// callers.
-pub fn active<T>(ready: impl Iterator<Item = (Rank, T)>) -> Vec<T> {
-    watchers::first(MOST_ACTIVE, ready)
+pub fn active_instances<T>(ready: impl Iterator<Item = (Rank, T)>) -> Vec<T> {
+    watchers::first(MAX_ACTIVE_INSTANCES, ready)
 }
