--- a/bench/src/lab/model.rs
+++ b/bench/src/lab/model.rs
@@ -9,7 +9,7 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 use rand_distr::{Distribution, Exp, LogNormal};
-use siskinrock::gateway::policy::admission::{self, Late, Load};
+use siskinrock::gateway::policy::admission::{self, EngineActivity, LateRequest};
 use siskinrock::gateway::policy::engine::{self, Need};
 use siskinrock::gateway::policy::placement::{self, Candidate, Constraints};
 use siskinrock::gateway::policy::silence::Patience;
@@ -579,14 +579,15 @@
             return;
         }
         let run = &self.runs[index];
-        let late = Late { since_ms: run.back_ms as u64, until_ms: run.until_ms as u64 };
+        let late = LateRequest { since_ms: run.back_ms as u64, until_ms: run.until_ms as u64 };
         let known = self.known();
         let reads = |at: &&usize| self.seen(run.instance, **at).reading > 0;
-        let load = Load { engines: known.len(), reading: known.iter().filter(reads).count() };
-        if late.is_sent(load, self.now_ms as u64) {
+        let load =
+            EngineActivity { engines: known.len(), reading: known.iter().filter(reads).count() };
+        if late.may_send(load, self.now_ms as u64) {
             return self.place(index);
         }
-        let at_ms = self.now_ms + self.choices.u64(..admission::LOOK_MS) as f64;
+        let at_ms = self.now_ms + self.choices.u64(..admission::MAX_RECHECK_DELAY_MS) as f64;
         self.schedule(at_ms, Event::Look { run: index });
     }
 
@@ -690,7 +691,7 @@
                 self.read_anew(index);
             }
             let waits = is_running && !is_kept && self.is_on(Mechanism::LateLast);
-            let look_ms = self.choices.u64(..admission::LOOK_MS) as f64;
+            let look_ms = self.choices.u64(..admission::MAX_RECHECK_DELAY_MS) as f64;
             if waits {
                 self.schedule(back_ms + look_ms, Event::Look { run: index });
             } else {
--- a/src/gateway/policy/admission.rs
+++ b/src/gateway/policy/admission.rs
@@ -10,14 +10,14 @@
 /// Upper bound on the random delay before a late request checks the load, and between two checks.
 /// The delay lets requests that arrived together with it go first, and gives reports of what other
 /// instances have sent time to arrive.
-pub const LOOK_MS: u64 = 1_000;
+pub const MAX_RECHECK_DELAY_MS: u64 = 1_000;
 /// A late request waits for at most its whole time divided by this, so that none starves and enough
 /// time is left for the whole answer.
-const WAITING_PART: u64 = 3;
+const MAX_WAIT_DIVISOR: u64 = 3;
 
 /// How busy the engines of a service are.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Load {
+pub struct EngineActivity {
     /// Number of engines that accept work.
     pub engines: usize,
     /// Number of those engines that have a prompt to read.
@@ -26,18 +26,18 @@
 
 /// A postponed late request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Late {
+pub struct LateRequest {
     /// When the request arrived.
     pub since_ms: u64,
     /// When the caller must have its answer.
     pub until_ms: u64,
 }
 
-impl Late {
+impl LateRequest {
     /// Whether to send the request now. While fewer than half of the engines are reading, its
     /// prompt goes to one that is not, and the others keep most of their speed.
-    pub fn is_sent(&self, load: Load, now_ms: u64) -> bool {
-        let patience_ms = self.until_ms.saturating_sub(self.since_ms) / WAITING_PART;
-        load.reading * 2 < load.engines || now_ms >= self.since_ms + patience_ms
+    pub fn may_send(&self, load: EngineActivity, now_ms: u64) -> bool {
+        let max_wait_ms = self.until_ms.saturating_sub(self.since_ms) / MAX_WAIT_DIVISOR;
+        load.reading * 2 < load.engines || now_ms >= self.since_ms + max_wait_ms
     }
 }
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -249,12 +249,13 @@
     /// Waits while those that can still be on time need the engines. False if the caller has left or
     /// its time is over.
     async fn let_others_go_first(&mut self) -> bool {
-        let late = admission::Late { since_ms: self.job.since_ms, until_ms: self.job.until_ms };
+        let late =
+            admission::LateRequest { since_ms: self.job.since_ms, until_ms: self.job.until_ms };
         loop {
-            if !self.wait(fastrand::u64(..admission::LOOK_MS)).await {
+            if !self.wait(fastrand::u64(..admission::MAX_RECHECK_DELAY_MS)).await {
                 return false;
             }
-            if late.is_sent(self.traffic.load_of(&self.job.service), self.traffic.now_ms()) {
+            if late.may_send(self.traffic.load_of(&self.job.service), self.traffic.now_ms()) {
                 return true;
             }
         }
--- a/src/gateway/traffic.rs
+++ b/src/gateway/traffic.rs
@@ -31,7 +31,7 @@
 use super::job::Job;
 use super::loads::{Held, Own, Sent};
 use super::metrics::Metrics;
-use super::policy::admission::Load;
+use super::policy::admission::EngineActivity;
 use super::policy::budget::Budget;
 use super::policy::departures::Departures;
 use super::policy::engine::{self, Need};
@@ -430,7 +430,7 @@
     }
 
     /// What the engines of a service are doing, as far as known.
-    pub fn load_of(&self, service: &str) -> Load {
+    pub fn load_of(&self, service: &str) -> EngineActivity {
         let workers = self.workers.borrow();
         let now_ms = self.now_ms();
         let takes = |worker: &&Rc<Worker>| {
@@ -440,7 +440,7 @@
         };
         let engines = || workers.values().filter(takes);
         let reading = engines().filter(|worker| self.reading_at(worker) > 0);
-        Load { engines: engines().count(), reading: reading.count() }
+        EngineActivity { engines: engines().count(), reading: reading.count() }
     }
 
     /// How many prompts an engine is reading, as far as known.
--- a/tests/gateway/patience.rs
+++ b/tests/gateway/patience.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use siskinrock::gateway::fleet::{Change, Fleet, Upstream};
-use siskinrock::gateway::policy::admission::{Late, Load};
+use siskinrock::gateway::policy::admission::{EngineActivity, LateRequest};
 use siskinrock::gateway::policy::budget::{Bound, Budget};
 use siskinrock::gateway::policy::found::Found;
 use siskinrock::gateway::policy::hedge;
@@ -265,24 +265,24 @@
 
 /// A late request that arrived at 1,000 and has until 25,000.
 #[parameterized(
-    engines_are_idle = { Load { engines: 100, reading: 49 }, 1_000, true },
-    half_of_them_read = { Load { engines: 100, reading: 50 }, 1_000, false },
-    it_has_waited_for_a_third_of_its_time = { Load { engines: 100, reading: 100 }, 9_000, true },
-    not_quite_a_third = { Load { engines: 100, reading: 100 }, 8_999, false },
-    only_engine = { Load { engines: 1, reading: 1 }, 1_000, false },
-    no_engine = { Load { engines: 0, reading: 0 }, 1_000, false },
-    time_leaps_back = { Load { engines: 100, reading: 100 }, 0, false },
-    time_leaps_forward = { Load { engines: 100, reading: 100 }, u64::MAX, true },
+    engines_are_idle = { EngineActivity { engines: 100, reading: 49 }, 1_000, true },
+    half_of_them_read = { EngineActivity { engines: 100, reading: 50 }, 1_000, false },
+    it_has_waited_for_a_third_of_its_time = { EngineActivity { engines: 100, reading: 100 }, 9_000, true },
+    not_quite_a_third = { EngineActivity { engines: 100, reading: 100 }, 8_999, false },
+    only_engine = { EngineActivity { engines: 1, reading: 1 }, 1_000, false },
+    no_engine = { EngineActivity { engines: 0, reading: 0 }, 1_000, false },
+    time_leaps_back = { EngineActivity { engines: 100, reading: 100 }, 0, false },
+    time_leaps_forward = { EngineActivity { engines: 100, reading: 100 }, u64::MAX, true },
 )]
-fn late_requests_let_others_go_first(load: Load, now_ms: u64, is_sent: bool) {
-    let late = Late { since_ms: 1_000, until_ms: 25_000 };
-    assert_eq!(late.is_sent(load, now_ms), is_sent);
+fn late_requests_let_others_go_first(load: EngineActivity, now_ms: u64, may_send: bool) {
+    let late = LateRequest { since_ms: 1_000, until_ms: 25_000 };
+    assert_eq!(late.may_send(load, now_ms), may_send);
 }
 
 #[test]
 fn a_late_request_whose_time_is_over_does_not_wait() {
-    let late = Late { since_ms: 5_000, until_ms: 1_000 };
-    assert!(late.is_sent(Load { engines: 9, reading: 9 }, 5_000));
+    let late = LateRequest { since_ms: 5_000, until_ms: 1_000 };
+    assert!(late.may_send(EngineActivity { engines: 9, reading: 9 }, 5_000));
 }
 
 /// Instances that ask 600 engines after the loss of all instances: each engine is asked by a few of
