--- a/src/gateway/policy/budget.rs
+++ b/src/gateway/policy/budget.rs
@@ -10,9 +10,9 @@
 /// Fraction of the budget that is used. Where most engines refuse requests, instances of other
 /// failure domains repeat for some hundred milliseconds before this one receives their reports: a
 /// fifth of all repeats in a window, or more.
-const USED: f64 = 0.75;
+const USED_FRACTION: f64 = 0.75;
 /// Number of steps that the window is divided into.
-const STEPS: u64 = 10;
+const STEPS_PER_WINDOW: u64 = 10;
 
 /// Requests and repeats that one instance sent to one service within the window.
 #[derive(Debug, Default)]
@@ -22,7 +22,7 @@
 
 #[derive(Debug, Clone, Copy)]
 struct Step {
-    number: u64,
+    index: u64,
     requests: u64,
     repeats: u64,
 }
@@ -47,55 +47,56 @@
 /// Upper bound on the repeats of one instance, as a multiple of its equal share. Losses are uneven;
 /// with this factor, a third of the instances can reach their bound at once and the total stays
 /// within the budget.
-const PARTS: f64 = 3.0;
+const MAX_SHARE_FACTOR: f64 = 3.0;
 /// Number of repeats that each instance may always send while the total allows it.
-const LEAST: f64 = 4.0;
+const MIN_REPEATS: f64 = 4.0;
 
 impl Budget {
     /// Counts a request.
-    pub fn request(&mut self, bound: Bound, now_ms: u64) {
-        self.step(bound, now_ms).requests += 1;
+    pub fn count_request(&mut self, bound: Bound, now_ms: u64) {
+        self.current_step(bound, now_ms).requests += 1;
     }
 
     /// Counts a repeat if the budget allows one; returns whether it does.
-    pub fn repeat(&mut self, bound: Bound, now_ms: u64) -> bool {
-        if !self.has_repeat(bound, now_ms) {
+    pub fn try_repeat(&mut self, bound: Bound, now_ms: u64) -> bool {
+        if !self.allows_repeat(bound, now_ms) {
             return false;
         }
-        self.step(bound, now_ms).repeats += 1;
+        self.current_step(bound, now_ms).repeats += 1;
         true
     }
 
     /// Whether the budget allows one more repeat.
-    pub fn has_repeat(&mut self, bound: Bound, now_ms: u64) -> bool {
-        self.step(bound, now_ms);
-        let (requests, repeats) = self.sums();
+    pub fn allows_repeat(&mut self, bound: Bound, now_ms: u64) -> bool {
+        self.current_step(bound, now_ms);
+        let (requests, repeats) = self.counts();
         let all_requests = requests + bound.others_requests;
-        let most = USED * (bound.ratio * all_requests as f64 + bound.slack);
-        let own_part = most / f64::from(bound.instances.max(1));
-        let is_within_all = (repeats + bound.others_repeats + 1) as f64 <= most;
-        let is_within_own = (repeats + 1) as f64 <= (own_part * PARTS).max(LEAST);
-        is_within_all && is_within_own
+        let limit = USED_FRACTION * (bound.ratio * all_requests as f64 + bound.slack);
+        let own_share = limit / f64::from(bound.instances.max(1));
+        let is_within_total = (repeats + bound.others_repeats + 1) as f64 <= limit;
+        let is_within_share =
+            (repeats + 1) as f64 <= (own_share * MAX_SHARE_FACTOR).max(MIN_REPEATS);
+        is_within_total && is_within_share
     }
 
     /// Returns the requests and the repeats in the window. Upstreams count repeats in any interval
     /// of the window's length, so the repeats of the step that lies only partly in the window count
     /// in full; its requests do not.
-    pub fn sums(&self) -> (u64, u64) {
-        let newest = self.steps.back().map_or(0, |step| step.number);
-        let is_in = |step: &&Step| step.number + STEPS > newest;
+    pub fn counts(&self) -> (u64, u64) {
+        let newest = self.steps.back().map_or(0, |step| step.index);
+        let is_in = |step: &&Step| step.index + STEPS_PER_WINDOW > newest;
         let requests = self.steps.iter().filter(is_in).map(|step| step.requests).sum();
         let repeats = self.steps.iter().map(|step| step.repeats).sum();
         (requests, repeats)
     }
 
-    fn step(&mut self, bound: Bound, now_ms: u64) -> &mut Step {
-        let number = now_ms / (bound.window_ms / STEPS).max(1);
-        while self.steps.front().is_some_and(|step| step.number + STEPS < number) {
+    fn current_step(&mut self, bound: Bound, now_ms: u64) -> &mut Step {
+        let index = now_ms / (bound.window_ms / STEPS_PER_WINDOW).max(1);
+        while self.steps.front().is_some_and(|step| step.index + STEPS_PER_WINDOW < index) {
             self.steps.pop_front();
         }
-        if self.steps.back().is_none_or(|step| step.number != number) {
-            self.steps.push_back(Step { number, requests: 0, repeats: 0 });
+        if self.steps.back().is_none_or(|step| step.index != index) {
+            self.steps.push_back(Step { index, requests: 0, repeats: 0 });
         }
         self.steps.back_mut().expect("a step was just pushed")
     }
--- a/src/gateway/traffic.rs
+++ b/src/gateway/traffic.rs
@@ -409,7 +409,7 @@
         let placed = places.iter().flat_map(|(part, at)| at.iter().map(|at| (*part, at)));
         own.places = placed.map(|(part, at)| (part, Arc::clone(&at.upstream))).collect();
         for (service, budget) in self.budgets.borrow().iter() {
-            let (requests, repeats) = budget.sums();
+            let (requests, repeats) = budget.counts();
             own.sent.push(Sent { service: Arc::clone(service), requests, repeats });
         }
         own.lost = self.losses.borrow().own();
--- a/src/gateway/traffic/budgets.rs
+++ b/src/gateway/traffic/budgets.rs
@@ -14,7 +14,7 @@
         let bound = self.bound(service);
         let now_ms = self.now_ms();
         let mut budgets = self.budgets.borrow_mut();
-        budgets.entry(Arc::clone(service)).or_default().request(bound, now_ms);
+        budgets.entry(Arc::clone(service)).or_default().count_request(bound, now_ms);
     }
 
     /// Takes one repeat to a service, if the bound allows it.
@@ -22,7 +22,7 @@
         let bound = self.bound(service);
         let now_ms = self.now_ms();
         let mut budgets = self.budgets.borrow_mut();
-        budgets.entry(Arc::clone(service)).or_default().repeat(bound, now_ms)
+        budgets.entry(Arc::clone(service)).or_default().try_repeat(bound, now_ms)
     }
 
     /// Whether the bound allows a repeat to a service now.
@@ -30,7 +30,7 @@
         let bound = self.bound(service);
         let now_ms = self.now_ms();
         let mut budgets = self.budgets.borrow_mut();
-        budgets.entry(Arc::clone(service)).or_default().has_repeat(bound, now_ms)
+        budgets.entry(Arc::clone(service)).or_default().allows_repeat(bound, now_ms)
     }
 
     /// Requests to a service that other instances place before the news of them arrive here, as far as
--- a/tests/gateway/decisions.rs
+++ b/tests/gateway/decisions.rs
@@ -183,12 +183,12 @@
         others_repeats: 0,
     };
     let mut budget = Budget::default();
-    let sent = (0..1_000).filter(|_| budget.repeat(bound, 900)).count();
+    let sent = (0..1_000).filter(|_| budget.try_repeat(bound, 900)).count();
     assert!(sent > 50, "{sent}");
-    assert!(!budget.repeat(bound, 10_800), "9.9 s later");
-    assert!(budget.repeat(bound, 12_000));
-    budget.request(bound, 30_900);
-    assert_eq!(budget.sums(), (1, 0), "what is out of the window");
+    assert!(!budget.try_repeat(bound, 10_800), "9.9 s later");
+    assert!(budget.try_repeat(bound, 12_000));
+    budget.count_request(bound, 30_900);
+    assert_eq!(budget.counts(), (1, 0), "what is out of the window");
 }
 
 #[test]
@@ -202,14 +202,14 @@
         others_repeats: 0,
     };
     let mut budget = Budget::default();
-    let allowed = (0..1_000).filter(|_| budget.repeat(bound, 0)).count();
+    let allowed = (0..1_000).filter(|_| budget.try_repeat(bound, 0)).count();
     assert!(allowed * 3 <= 150, "a third of nine at once stay under the bound: {allowed}");
     bound.others_repeats = 130;
-    assert!(!Budget::default().repeat(bound, 0), "the others have taken all");
+    assert!(!Budget::default().try_repeat(bound, 0), "the others have taken all");
     bound.others_requests = 1_000;
-    assert!(Budget::default().repeat(bound, 0));
+    assert!(Budget::default().try_repeat(bound, 0));
     let many = allowed;
-    let later = (0..1_000).filter(|_| budget.repeat(bound, 11_000)).count();
+    let later = (0..1_000).filter(|_| budget.try_repeat(bound, 11_000)).count();
     assert!(later >= many, "the window has passed");
 }
 
--- a/tests/gateway/patience.rs
+++ b/tests/gateway/patience.rs
@@ -142,10 +142,10 @@
     for (phase, factor) in [1, 10].into_iter().enumerate() {
         for call in 0..2_000 {
             let now_ms = (phase * 2_000 + call) as u64 * 10;
-            budget.request(bound, now_ms);
+            budget.count_request(bound, now_ms);
             let takes_ms = factor * random.u64(20..60);
             let after_ms = hedge::after_ms(&known, 150).unwrap();
-            if takes_ms > after_ms && budget.repeat(bound, now_ms) {
+            if takes_ms > after_ms && budget.try_repeat(bound, now_ms) {
                 second[phase] += 1;
             }
             known.record(takes_ms);
