--- a/src/gateway/policy/quarantine.rs
+++ b/src/gateway/policy/quarantine.rs
@@ -13,7 +13,7 @@
 use super::super::crash::{Crash, CrashRecord, EndedUnder, Stage};
 use super::super::fingerprint::Fingerprint;
 use super::super::fleet::Upstream;
-use super::coincidence::{Ends, SETTLE_MS};
+use super::coincidence::{JUDGEMENT_DELAY_MS, RecentEnds};
 
 /// Crashes while the run had just begun after which a request is quarantined. With two, a request that
 /// went on beside the one to blame once would be taken for it.
@@ -122,7 +122,7 @@
 pub struct Quarantine {
     records: BTreeMap<Fingerprint, Record>,
     unsettled: Vec<Crash>,
-    ends: Ends,
+    ends: RecentEnds,
     /// Grows with each change of what is known.
     version: u64,
     /// Fingerprints of which peers have to hear.
@@ -151,7 +151,7 @@
 
     /// Notes that an upstream ended under a run that had just begun, as a peer tells. Whether it is new.
     pub fn hear_end(&mut self, upstream: &Upstream, fingerprint: Fingerprint, now_ms: u64) -> bool {
-        self.ends.note_under(upstream, fingerprint, now_ms)
+        self.ends.note_under_request(upstream, fingerprint, now_ms)
     }
 
     /// The ends that peers should hear of at once: a request that is sent through several instances at once
@@ -166,7 +166,7 @@
         let Crash { fingerprint, upstream, .. } = &crash;
         self.ends.note(upstream, crash.at_ms);
         let is_new = crash.stage == Stage::Begun
-            && self.ends.note_under(upstream, *fingerprint, crash.at_ms);
+            && self.ends.note_under_request(upstream, *fingerprint, crash.at_ms);
         if is_new && self.ends_news.len() < MOST_ENDS_TOLD {
             let upstream = Arc::clone(&upstream.id);
             self.ends_news.push(EndedUnder { upstream, fingerprint: *fingerprint });
@@ -185,7 +185,7 @@
 
     /// When the next crash is to be judged.
     pub fn settles_ms(&self) -> Option<u64> {
-        self.unsettled.iter().map(|crash| crash.at_ms + SETTLE_MS).min()
+        self.unsettled.iter().map(|crash| crash.at_ms + JUDGEMENT_DELAY_MS).min()
     }
 
     /// Judges the crashes that are old enough, among these upstreams; what became of each.
@@ -194,7 +194,7 @@
         upstreams: &BTreeMap<Arc<str>, Upstream>,
         now_ms: u64,
     ) -> Vec<(Crash, Judgement)> {
-        let is_due = |crash: &mut Crash| crash.at_ms + SETTLE_MS <= now_ms;
+        let is_due = |crash: &mut Crash| crash.at_ms + JUDGEMENT_DELAY_MS <= now_ms;
         let due: Vec<Crash> = self.unsettled.extract_if(.., is_due).collect();
         let judged: Vec<bool> =
             due.iter().map(|crash| self.is_coincident(crash, &due, upstreams)).collect();
@@ -223,7 +223,7 @@
             record.is_some_and(|record| record.crashes.contains_key(id))
                 || self.unsettled.iter().chain(due).any(|other| is_same(other, id))
         };
-        self.ends.is_coincident(crash, is_own, upstreams)
+        self.ends.has_common_cause(crash, is_own, upstreams)
     }
 
     fn count(&mut self, crash: &Crash, now_ms: u64) -> Judgement {
--- a/src/gateway/traffic/quarantine.rs
+++ b/src/gateway/traffic/quarantine.rs
@@ -6,7 +6,7 @@
 use super::super::crash::{Crash, Stage};
 use super::super::failure::Failure;
 use super::super::job::Job;
-use super::super::policy::coincidence::SETTLE_MS;
+use super::super::policy::coincidence::JUDGEMENT_DELAY_MS;
 use super::super::policy::quarantine::{self, Suspect};
 use super::super::view::Report;
 use super::super::worker::Worker;
@@ -15,7 +15,7 @@
 /// How much later than a crash is judged its judgement has reached traffic here.
 const TOLD_MS: u64 = 50;
 /// How long after a crash a request that goes on waits where that may decide on it.
-pub(in super::super) const JUDGED_MS: u64 = SETTLE_MS + TOLD_MS;
+pub(in super::super) const JUDGED_MS: u64 = JUDGEMENT_DELAY_MS + TOLD_MS;
 
 impl Traffic {
     /// How the request stands; without a fingerprint where none is known of.
--- a/tests/gateway/suspicion.rs
+++ b/tests/gateway/suspicion.rs
@@ -9,7 +9,7 @@
 use siskinrock::gateway::crash::{Crash, Stage};
 use siskinrock::gateway::fingerprint::Fingerprint;
 use siskinrock::gateway::fleet::Upstream;
-use siskinrock::gateway::policy::coincidence::SETTLE_MS;
+use siskinrock::gateway::policy::coincidence::JUDGEMENT_DELAY_MS;
 use siskinrock::gateway::policy::quarantine::{self, Judgement, Quarantine};
 use yare::parameterized;
 
@@ -44,7 +44,7 @@
 /// Records one crash and judges it; returns whether the request is quarantined then.
 fn crashes(known: &mut Quarantine, fingerprint: Fingerprint, number: usize, at_ms: u64) -> bool {
     known.note_crash(crash(fingerprint, number, Stage::Begun, at_ms));
-    known.settle(&engines(), at_ms + SETTLE_MS);
+    known.settle(&engines(), at_ms + JUDGEMENT_DELAY_MS);
     is_quarantined(known, fingerprint)
 }
 
@@ -113,7 +113,7 @@
         }
         let number = ended[loss as usize % ended.len()];
         known.note_crash(crash(unlucky, number, Stage::Begun, at_ms));
-        let judged = known.settle(&engines(), at_ms + SETTLE_MS);
+        let judged = known.settle(&engines(), at_ms + JUDGEMENT_DELAY_MS);
         assert_eq!(judged[0].1, Judgement::Coincident);
     }
     assert!(known.suspects().is_empty());
@@ -149,7 +149,7 @@
         for end in &ends {
             instance.hear_end(&all[&end.upstream], end.fingerprint, 1_100);
         }
-        let judged = instance.settle(&all, 1_000 + SETTLE_MS);
+        let judged = instance.settle(&all, 1_000 + JUDGEMENT_DELAY_MS);
         assert_eq!(judged[0].1, Judgement::Counted);
     }
     let (first, others) = instances.split_first_mut().unwrap();
@@ -165,11 +165,11 @@
     for number in 0..5 {
         let at_ms = 1_000 * (number as u64 + 1);
         known.note_crash(crash(waiting, number, Stage::Waiting, at_ms));
-        known.settle(&engines(), at_ms + SETTLE_MS);
+        known.settle(&engines(), at_ms + JUDGEMENT_DELAY_MS);
         assert!(!is_quarantined(&known, waiting));
     }
     known.note_crash(crash(waiting, 5, Stage::Waiting, 9_000));
-    known.settle(&engines(), 9_000 + SETTLE_MS);
+    known.settle(&engines(), 9_000 + JUDGEMENT_DELAY_MS);
     assert!(is_quarantined(&known, waiting), "one that ends engines while they read its prompt");
 }
 
@@ -213,7 +213,7 @@
     let poison = request("poison");
     let at = |number, at_ms| Crash { event: 100, ..crash(poison, number, Stage::Begun, at_ms) };
     known.note_crash(at(0, 1_000));
-    known.settle(&engines(), 1_000 + SETTLE_MS);
+    known.settle(&engines(), 1_000 + JUDGEMENT_DELAY_MS);
     known.clear_served(poison, Some(100), 2_000);
     assert_eq!(known.suspects()[&poison].crashes, 1);
 }
