--- a/src/gateway/control/exchange.rs
+++ b/src/gateway/control/exchange.rs
@@ -104,7 +104,7 @@
         board.loads.forget(now_ms);
         board.quarantine.forget(now_ms);
         board.named_rates.forget(now_ms);
-        board.departures.forget(now_ms);
+        board.departures.expire(now_ms);
     }
 
     /// Tells rumors: new ones at once, and each a few times more.
--- a/src/gateway/control/signals.rs
+++ b/src/gateway/control/signals.rs
@@ -71,7 +71,7 @@
         let board = self.board.borrow();
         let news = SignalNews {
             rates: board.named_rates.all(self.clock.now_ms()),
-            departures: board.departures.all(),
+            departures: board.departures.to_vec(),
             is_passed_on: false,
         };
         if news.is_empty() {
--- a/src/gateway/control/successors.rs
+++ b/src/gateway/control/successors.rs
@@ -65,7 +65,7 @@
         let view = self.shared.view.load();
         let is_engine = |upstream: &&Upstream| {
             let service = view.config.as_ref().and_then(|all| all.services.get(&upstream.service));
-            let leaves = upstream.is_leaving || view.departures.holds(upstream);
+            let leaves = upstream.is_leaving || view.departures.contains(upstream);
             !leaves && service.is_some_and(|service| service.engine.is_some())
         };
         let known = ids.iter().filter_map(|id| view.fleet.upstreams.get(id));
--- a/src/gateway/traffic.rs
+++ b/src/gateway/traffic.rs
@@ -257,7 +257,7 @@
         if is_fleet_new {
             self.follow(&view.fleet);
         }
-        if is_fleet_new || !view.departures.is_same(&self.departures.borrow()) {
+        if is_fleet_new || !view.departures.is_same_data(&self.departures.borrow()) {
             self.follow_departures(&view.departures);
         }
         view
--- a/src/gateway/traffic/signals.rs
+++ b/src/gateway/traffic/signals.rs
@@ -64,7 +64,7 @@
     /// Follows which upstreams said to any instance that they leave.
     pub(super) fn follow_departures(&self, departures: &Departures) {
         for worker in self.workers.borrow().values() {
-            if departures.holds(&worker.upstream) && worker.note_said_leaving() {
+            if departures.contains(&worker.upstream) && worker.note_said_leaving() {
                 self.log_leaving(worker, "a peer");
             }
         }
--- a/tests/gateway/departures.rs
+++ b/tests/gateway/departures.rs
@@ -25,8 +25,8 @@
     let before = upstream(Some(1_000));
     assert!(departures.note(&Departure::of(&before), 0));
     assert!(!departures.note(&Departure::of(&before), 10), "once is enough");
-    assert!(departures.holds(&before));
-    assert!(!departures.holds(&upstream(Some(9_000))));
+    assert!(departures.contains(&before));
+    assert!(!departures.contains(&upstream(Some(9_000))));
 }
 
 /// An instance of a fleet that runs for months does not remember all that ever left.
@@ -34,8 +34,8 @@
 fn what_left_long_ago_is_forgotten() {
     let mut departures = Departures::default();
     departures.note(&Departure::of(&upstream(None)), 0);
-    departures.forget(30_000);
-    assert!(departures.holds(&upstream(None)));
-    departures.forget(60_000);
-    assert!(!departures.holds(&upstream(None)));
+    departures.expire(30_000);
+    assert!(departures.contains(&upstream(None)));
+    departures.expire(60_000);
+    assert!(!departures.contains(&upstream(None)));
 }
