--- a/src/gateway/policy/engine.rs
+++ b/src/gateway/policy/engine.rs
@@ -8,10 +8,10 @@
 
 /// Fraction of the copies that are eventually run: on a day with faults about one request in three
 /// loses its engine, and more do where engines fail one after another.
-const COPY_USED_PART: f64 = 0.4;
+const COPY_USE_FRACTION: f64 = 0.4;
 /// Fraction of an engine's memory up to which its use adds no cost. The rest is needed for what
 /// other instances place at the same moment, and for what finished requests leave behind.
-const ROOMY_PART: f64 = 0.75;
+const CROWDED_FRACTION: f64 = 0.75;
 /// Cost of a request that fills an engine's memory, in units of one slowed request: the request
 /// that is preempted for it reads its prompt again and is late, while the others are only slower
 /// for a while.
@@ -21,7 +21,7 @@
 const SLOT_WAIT_COST: f64 = 4.0;
 /// Minimum fraction of a prompt that counts as read, however much of it is cached: its last part is
 /// unique to the request, and cached parts may have been evicted.
-const LEAST_READ_PART: f64 = 0.05;
+const MIN_READ_FRACTION: f64 = 0.05;
 
 /// Resources that a request needs on an engine.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -62,18 +62,18 @@
     /// Whether its memory has room for a request or a copy in addition to everything reserved
     /// there.
     pub fn has_room(&self, need: Need) -> bool {
-        self.full_part(need) <= 1.0
+        self.memory_use(need) <= 1.0
     }
 
     /// Cost of placing a request here, in units of one request slowed while a prompt of this length
     /// is read.
     pub fn cost(&self, need: Need) -> f64 {
         self.runs
-            + COPY_USED_PART * self.copies
+            + COPY_USE_FRACTION * self.copies
             + self.wait_cost(need)
             + self.slot_cost()
             + self.memory_cost(need)
-            - self.kept_gain(need)
+            - self.cache_gain(need)
     }
 
     /// The first event comes after all pending prompts are read, measured in the reading time of
@@ -86,12 +86,12 @@
     }
 
     /// Cached tokens need not be read, which slows neither this request nor those that run here.
-    fn kept_gain(&self, need: Need) -> f64 {
+    fn cache_gain(&self, need: Need) -> f64 {
         if need.prompt_tokens == 0 {
             return 0.0;
         }
-        let kept_part = self.kept_tokens as f64 / need.prompt_tokens as f64;
-        kept_part.min(1.0 - LEAST_READ_PART) * (1.0 + self.runs)
+        let cached_fraction = self.kept_tokens as f64 / need.prompt_tokens as f64;
+        cached_fraction.min(1.0 - MIN_READ_FRACTION) * (1.0 + self.runs)
     }
 
     fn slot_cost(&self) -> f64 {
@@ -100,17 +100,17 @@
     }
 
     fn memory_cost(&self, need: Need) -> f64 {
-        let crowded_part = (self.full_part(need) - ROOMY_PART) / (1.0 - ROOMY_PART);
-        FULL_MEMORY_COST * crowded_part.max(0.0)
+        let crowding = (self.memory_use(need) - CROWDED_FRACTION) / (1.0 - CROWDED_FRACTION);
+        FULL_MEMORY_COST * crowding.max(0.0)
     }
 
     /// Fraction of its memory that is reserved, including this request.
-    fn full_part(&self, need: Need) -> f64 {
+    fn memory_use(&self, need: Need) -> f64 {
         let Some(memory_tokens) = self.memory_tokens.filter(|tokens| *tokens > 0) else {
             return 0.0;
         };
         let kept_tokens = self.kept_tokens.min(need.prompt_tokens);
-        let taken_tokens = need.memory_tokens().saturating_add(self.reserved_tokens) - kept_tokens;
-        taken_tokens as f64 / memory_tokens as f64
+        let used_tokens = need.memory_tokens().saturating_add(self.reserved_tokens) - kept_tokens;
+        used_tokens as f64 / memory_tokens as f64
     }
 }
