--- a/src/gateway/control.rs
+++ b/src/gateway/control.rs
@@ -38,11 +38,11 @@
 use super::metrics::Metrics;
 use super::policy::active;
 use super::policy::departures::Departures;
-use super::policy::found::Found;
 use super::policy::lease::{DutyLease, Holder};
 use super::policy::named_rates::NamedRates;
 use super::policy::quarantine::Quarantine;
 use super::policy::rate_limit::Limiter;
+use super::policy::rediscovered::Rediscovered;
 use super::policy::subset::Share;
 use super::policy::usage::{Counter, Usage};
 use super::policy::watchers::{self, Rank};
@@ -63,7 +63,7 @@
     config: Option<Arc<Config>>,
     fleet: Fleet,
     /// Engines that the silent directory does not list yet.
-    found: Found,
+    found: Rediscovered,
     has_fleet: bool,
     membership: Membership,
     loads: Loads,
@@ -207,7 +207,7 @@
         let board = Board {
             config: None,
             fleet: Fleet::default(),
-            found: Found::default(),
+            found: Rediscovered::default(),
             has_fleet: false,
             membership: Membership::new(me.clone(), settings.link_mbps, &contacts, start_version()),
             loads: Loads::new(Arc::clone(&settings.domain), window_ms),
--- a/src/gateway/control/exchange.rs
+++ b/src/gateway/control/exchange.rs
@@ -98,7 +98,7 @@
         } else {
             board.few_watch_since_ms.get_or_insert(now_ms);
         }
-        if board.found.note_directory(is_heard, now_ms) {
+        if board.found.update_directory_state(is_heard, now_ms) {
             slog::info!(self.log, "engines found meanwhile count only as listed");
         }
         board.loads.forget(now_ms);
--- a/src/gateway/policy/found.rs
+++ b/src/gateway/policy/rediscovered.rs
@@ -13,28 +13,28 @@
 /// How long rediscovered engines are kept after the directory answers again. Upstreams whose
 /// entries lapsed meanwhile are listed again within two seconds; any that is still missing then
 /// counts as gone.
-const KEPT_MS: u64 = 1_900;
+const RETENTION_MS: u64 = 1_900;
 
 /// Rediscovered upstreams that the directory does not list yet.
 #[derive(Debug, Default)]
-pub struct Found {
-    known: BTreeMap<Arc<str>, Upstream>,
+pub struct Rediscovered {
+    upstreams: BTreeMap<Arc<str>, Upstream>,
     until_ms: Option<u64>,
-    /// Incremented at each change of `known`.
+    /// Incremented at each change of `upstreams`.
     changes: u64,
 }
 
-impl Found {
+impl Rediscovered {
     /// Adds an upstream. Returns whether its id is new.
     pub fn add(&mut self, upstream: Upstream) -> bool {
         self.changes += 1;
-        self.known.retain(|_, known| known.addr != upstream.addr || known.id == upstream.id);
-        self.known.insert(Arc::clone(&upstream.id), upstream).is_none()
+        self.upstreams.retain(|_, known| known.addr != upstream.addr || known.id == upstream.id);
+        self.upstreams.insert(Arc::clone(&upstream.id), upstream).is_none()
     }
 
     /// Removes an upstream that the directory reports as gone.
     pub fn remove(&mut self, id: &str) {
-        if self.known.remove(id).is_some() {
+        if self.upstreams.remove(id).is_some() {
             self.changes += 1;
         }
     }
@@ -46,27 +46,27 @@
 
     /// Updates whether any instance reaches the directory. Returns whether the rediscovered
     /// upstreams have just expired.
-    pub fn note_directory(&mut self, is_heard: bool, now_ms: u64) -> bool {
-        if !is_heard || self.known.is_empty() {
+    pub fn update_directory_state(&mut self, is_reachable: bool, now_ms: u64) -> bool {
+        if !is_reachable || self.upstreams.is_empty() {
             self.until_ms = None;
             return false;
         }
-        let until_ms = *self.until_ms.get_or_insert(now_ms + KEPT_MS);
+        let until_ms = *self.until_ms.get_or_insert(now_ms + RETENTION_MS);
         if now_ms < until_ms {
             return false;
         }
-        *self = Found { changes: self.changes + 1, ..Found::default() };
+        *self = Rediscovered { changes: self.changes + 1, ..Rediscovered::default() };
         true
     }
 
     /// Number of rediscovered upstreams.
     pub fn len(&self) -> usize {
-        self.known.len()
+        self.upstreams.len()
     }
 
     /// Whether there are no rediscovered upstreams.
     pub fn is_empty(&self) -> bool {
-        self.known.is_empty()
+        self.upstreams.is_empty()
     }
 
     /// Merges the rediscovered upstreams into the directory's list. A rediscovered upstream
@@ -76,20 +76,26 @@
         &self,
         listed: &'a BTreeMap<Arc<str>, Upstream>,
     ) -> Cow<'a, BTreeMap<Arc<str>, Upstream>> {
-        if self.known.is_empty() {
+        if self.upstreams.is_empty() {
             return Cow::Borrowed(listed);
         }
         // An entry that was listed at this address since then belongs to a later incarnation.
-        let is_passed = |found: &Upstream| {
-            let mut there = listed.values().filter(|known| known.addr == found.addr);
-            there.any(|known| known.listed_at > found.listed_at)
+        let is_outdated = |rediscovered: &Upstream| {
+            let mut there = listed.values().filter(|known| known.addr == rediscovered.addr);
+            there.any(|known| known.listed_at > rediscovered.listed_at)
+        };
+        let is_new = |rediscovered: &&Upstream| {
+            !listed.contains_key(&rediscovered.id) && !is_outdated(rediscovered)
+        };
+        let rediscovered: Vec<&Upstream> = self.upstreams.values().filter(is_new).collect();
+        let is_replaced = |known: &Upstream| {
+            rediscovered.iter().any(|rediscovered| rediscovered.addr == known.addr)
         };
-        let is_new = |found: &&Upstream| !listed.contains_key(&found.id) && !is_passed(found);
-        let found: Vec<&Upstream> = self.known.values().filter(is_new).collect();
-        let is_replaced = |known: &Upstream| found.iter().any(|found| found.addr == known.addr);
         let kept = listed.iter().filter(|(_, known)| !is_replaced(known));
         let kept = kept.map(|(id, known)| (Arc::clone(id), known.clone()));
-        let found = found.iter().map(|found| (Arc::clone(&found.id), (*found).clone()));
-        Cow::Owned(kept.chain(found).collect())
+        let rediscovered = rediscovered
+            .iter()
+            .map(|rediscovered| (Arc::clone(&rediscovered.id), (*rediscovered).clone()));
+        Cow::Owned(kept.chain(rediscovered).collect())
     }
 }
--- a/tests/gateway/decisions.rs
+++ b/tests/gateway/decisions.rs
@@ -7,10 +7,10 @@
 use siskinrock::gateway::fleet::{Change, Fleet, Upstream};
 use siskinrock::gateway::policy::budget::{Bound, Budget};
 use siskinrock::gateway::policy::engine::Load;
-use siskinrock::gateway::policy::found::Found;
 use siskinrock::gateway::policy::losses::{Loss, Losses, Subject};
 use siskinrock::gateway::policy::outages::Outages;
 use siskinrock::gateway::policy::placement::{Candidate, Constraints, choose};
+use siskinrock::gateway::policy::rediscovered::Rediscovered;
 use siskinrock::gateway::policy::spread;
 use siskinrock::platform::document;
 use yare::parameterized;
@@ -281,34 +281,37 @@
 fn what_was_found_stands_for_whoever_had_the_address_until_the_directory_tells() {
     let mut fleet = Fleet::default();
     fleet.replace(5, vec![at("old", 80), at("other", 81)], &[], 0);
-    let mut found = Found::default();
-    assert!(found.add(at("new", 80)));
-    assert!(!found.add(at("new", 80)), "found again, it is no news");
-    let names = |found: &Found, fleet: &Fleet| -> Vec<String> {
-        found.merge(&fleet.upstreams).keys().map(ToString::to_string).collect()
+    let mut rediscovered = Rediscovered::default();
+    assert!(rediscovered.add(at("new", 80)));
+    assert!(!rediscovered.add(at("new", 80)), "found again, it is no news");
+    let names = |rediscovered: &Rediscovered, fleet: &Fleet| -> Vec<String> {
+        rediscovered.merge(&fleet.upstreams).keys().map(ToString::to_string).collect()
     };
-    assert_eq!(names(&found, &fleet), ["new", "other"]);
-    assert!(found.add(at("newer", 80)), "it crashed once more");
-    assert_eq!(names(&found, &fleet), ["newer", "other"]);
+    assert_eq!(names(&rediscovered, &fleet), ["new", "other"]);
+    assert!(rediscovered.add(at("newer", 80)), "it crashed once more");
+    assert_eq!(names(&rediscovered, &fleet), ["newer", "other"]);
     let leaving = Upstream { is_leaving: true, ..at("newer", 80) };
     fleet.apply(6, vec![Change::Put(leaving)], 100);
-    assert!(found.merge(&fleet.upstreams)["newer"].is_leaving, "the directory's word goes first");
-    found.remove("newer");
-    assert_eq!(names(&found, &fleet), ["newer", "old", "other"]);
+    assert!(
+        rediscovered.merge(&fleet.upstreams)["newer"].is_leaving,
+        "the directory's word goes first"
+    );
+    rediscovered.remove("newer");
+    assert_eq!(names(&rediscovered, &fleet), ["newer", "old", "other"]);
 }
 
 #[test]
 fn what_was_found_ends_with_the_time_to_be_listed_again() {
-    let mut found = Found::default();
-    found.add(at("new", 80));
-    assert!(!found.note_directory(false, 0));
-    assert!(!found.note_directory(true, 1_000));
-    assert!(!found.note_directory(false, 1_500), "silent again");
-    assert!(!found.note_directory(true, 3_000));
-    assert!(!found.note_directory(true, 4_800));
-    assert_eq!(found.len(), 1);
-    assert!(found.note_directory(true, 4_900));
-    assert!(found.is_empty());
+    let mut rediscovered = Rediscovered::default();
+    rediscovered.add(at("new", 80));
+    assert!(!rediscovered.update_directory_state(false, 0));
+    assert!(!rediscovered.update_directory_state(true, 1_000));
+    assert!(!rediscovered.update_directory_state(false, 1_500), "silent again");
+    assert!(!rediscovered.update_directory_state(true, 3_000));
+    assert!(!rediscovered.update_directory_state(true, 4_800));
+    assert_eq!(rediscovered.len(), 1);
+    assert!(rediscovered.update_directory_state(true, 4_900));
+    assert!(rediscovered.is_empty());
 }
 
 #[test]
--- a/tests/gateway/patience.rs
+++ b/tests/gateway/patience.rs
@@ -5,12 +5,12 @@
 use siskinrock::gateway::fleet::{Change, Fleet, Upstream};
 use siskinrock::gateway::policy::admission::{EngineActivity, LateRequest};
 use siskinrock::gateway::policy::budget::{Bound, Budget};
-use siskinrock::gateway::policy::found::Found;
 use siskinrock::gateway::policy::hedge;
 use siskinrock::gateway::policy::latency::Latencies;
 use siskinrock::gateway::policy::outages::{self, Outages};
 use siskinrock::gateway::policy::placement;
 use siskinrock::gateway::policy::recall;
+use siskinrock::gateway::policy::rediscovered::Rediscovered;
 use siskinrock::gateway::policy::silence::{self, Patience, Sighting, Silence, Verdict, Why};
 use siskinrock::gateway::policy::sought::Sought;
 use siskinrock::platform::document;
@@ -177,14 +177,14 @@
 fn what_was_found_yields_to_what_was_listed_later() {
     let mut fleet = Fleet::default();
     fleet.replace(5, vec![at("old", 80, 2)], &[], 0);
-    let mut found = Found::default();
-    found.add(Upstream { id: "found".into(), ..at("old", 80, 2) });
-    let names = |found: &Found, fleet: &Fleet| -> Vec<String> {
-        found.merge(&fleet.upstreams).keys().map(ToString::to_string).collect()
+    let mut rediscovered = Rediscovered::default();
+    rediscovered.add(Upstream { id: "found".into(), ..at("old", 80, 2) });
+    let names = |rediscovered: &Rediscovered, fleet: &Fleet| -> Vec<String> {
+        rediscovered.merge(&fleet.upstreams).keys().map(ToString::to_string).collect()
     };
-    assert_eq!(names(&found, &fleet), ["found"]);
+    assert_eq!(names(&rediscovered, &fleet), ["found"]);
     fleet.apply(9, vec![Change::Put(at("next", 80, 9))], 100);
-    assert_eq!(names(&found, &fleet), ["next", "old"]);
+    assert_eq!(names(&rediscovered, &fleet), ["next", "old"]);
     assert_eq!(placement::superseded(fleet.upstreams.values()), [Arc::from("old")]);
 }
 
