--- a/src/gateway/policy/hedge.rs
+++ b/src/gateway/policy/hedge.rs
@@ -10,18 +10,20 @@
 
 /// Percentile of the latencies before which no call is hedged, so that at most one call in twenty
 /// is sent twice, however slow all are.
-const USUAL: f64 = 0.95;
+const DELAY_PERCENTILE: f64 = 0.95;
 /// The hedge itself should meet the objective in this fraction of the cases.
-const LIKELY: f64 = 0.75;
+const LATENCY_PERCENTILE: f64 = 0.75;
 
 /// How long after its first attempt a call is hedged; `None` if it is not.
 ///
 /// The hedge starts as late as the objective permits, but not before nearly all answers have
 /// arrived. While too few latencies are known, only a call that has already missed its objective is
 /// hedged.
-pub fn after_ms(known: &Latencies, objective_ms: u64) -> Option<u64> {
-    let (Some(usual_ms), Some(likely_ms)) = (known.quantile(USUAL), known.quantile(LIKELY)) else {
+pub fn delay_ms(known: &Latencies, objective_ms: u64) -> Option<u64> {
+    let (Some(min_delay_ms), Some(latency_ms)) =
+        (known.quantile(DELAY_PERCENTILE), known.quantile(LATENCY_PERCENTILE))
+    else {
         return (objective_ms > 0).then_some(objective_ms);
     };
-    Some(usual_ms.max(objective_ms.saturating_sub(likely_ms)))
+    Some(min_delay_ms.max(objective_ms.saturating_sub(latency_ms)))
 }
--- a/src/gateway/traffic.rs
+++ b/src/gateway/traffic.rs
@@ -235,7 +235,7 @@
     pub fn hedge_after_ms(&self, job: &Job) -> Option<u64> {
         let mut latencies = self.latencies.borrow_mut();
         let known = latencies.entry(Arc::clone(&job.route.name)).or_default();
-        hedge::after_ms(known, job.route.target_latency_ms)
+        hedge::delay_ms(known, job.route.target_latency_ms)
     }
 
     /// Waits until a planned stop gives its last answers, which may be never.
--- a/tests/gateway/patience.rs
+++ b/tests/gateway/patience.rs
@@ -135,8 +135,8 @@
     };
     let mut random = fastrand::Rng::with_seed(11);
     let mut known = Latencies::default();
-    assert_eq!(hedge::after_ms(&known, 150), Some(150), "careful before enough is known");
-    assert_eq!(hedge::after_ms(&known, 0), None);
+    assert_eq!(hedge::delay_ms(&known, 150), Some(150), "careful before enough is known");
+    assert_eq!(hedge::delay_ms(&known, 0), None);
     let mut budget = Budget::default();
     let mut second = [0; 2];
     for (phase, factor) in [1, 10].into_iter().enumerate() {
@@ -144,14 +144,14 @@
             let now_ms = (phase * 2_000 + call) as u64 * 10;
             budget.count_request(bound, now_ms);
             let takes_ms = factor * random.u64(20..60);
-            let after_ms = hedge::after_ms(&known, 150).unwrap();
+            let after_ms = hedge::delay_ms(&known, 150).unwrap();
             if takes_ms > after_ms && budget.try_repeat(bound, now_ms) {
                 second[phase] += 1;
             }
             known.record(takes_ms);
         }
         if phase == 0 {
-            let after_ms = hedge::after_ms(&known, 150).unwrap();
+            let after_ms = hedge::delay_ms(&known, 150).unwrap();
             assert!((90..150).contains(&after_ms), "in time for the objective: {after_ms}");
         }
     }
