--- a/src/gateway/policy/losses.rs
+++ b/src/gateway/policy/losses.rs
@@ -5,14 +5,14 @@
 
 /// How long a loss counts for its upstream and is reported to peers: the list of upstreams drops a
 /// lost one within this time.
-const LOSS_COUNTS_MS: u64 = 4_000;
+const LOSS_RETENTION_MS: u64 = 4_000;
 /// How long a loss casts suspicion on its failure domain. When a whole domain fails, the engines
 /// with work there are all detected as lost within 400 ms. One that nobody has detected as lost
 /// after twice that time is alive, or has no work and is checked by the next request.
-const DOMAIN_SIGN_MS: u64 = 800;
+const DOMAIN_SUSPICION_MS: u64 = 800;
 /// Minimum number of lost upstreams of a service in one failure domain that makes the others there
 /// suspected; fewer fail independently on an ordinary day.
-const DOMAIN_LOSSES: usize = 3;
+const MIN_CORRELATED_LOSSES: usize = 3;
 
 /// The loss of an upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -29,7 +29,7 @@
 
 /// An upstream whose state is queried.
 #[derive(Debug, Clone, Copy)]
-pub struct Subject<'a> {
+pub struct QueriedUpstream<'a> {
     /// Its id.
     pub id: &'a str,
     /// Its service.
@@ -53,13 +53,13 @@
     }
 
     /// Records a loss that a peer reported; a repeated report does not renew it.
-    pub fn hear(&mut self, id: &Arc<str>, loss: Loss) {
+    pub fn note_reported(&mut self, id: &Arc<str>, loss: Loss) {
         self.known.entry(Arc::clone(id)).or_insert(loss);
     }
 
     /// Drops expired losses, except those of upstreams for which `is_final` holds.
-    pub fn forget(&mut self, now_ms: u64, is_final: impl Fn(&str) -> bool) {
-        self.known.retain(|id, loss| loss.at_ms + LOSS_COUNTS_MS > now_ms || is_final(id));
+    pub fn expire(&mut self, now_ms: u64, is_final: impl Fn(&str) -> bool) {
+        self.known.retain(|id, loss| loss.at_ms + LOSS_RETENTION_MS > now_ms || is_final(id));
     }
 
     /// Returns the upstreams whose loss this instance detected itself, for reports to peers.
@@ -69,19 +69,19 @@
     }
 
     /// Whether an upstream was lost after its last sign of life.
-    pub fn is_lost(&self, subject: Subject<'_>) -> bool {
-        self.known.get(subject.id).is_some_and(|loss| loss.at_ms >= subject.alive_ms)
+    pub fn is_lost(&self, upstream: QueriedUpstream<'_>) -> bool {
+        self.known.get(upstream.id).is_some_and(|loss| loss.at_ms >= upstream.alive_ms)
     }
 
     /// Whether so many upstreams of the same service and failure domain were lost within a short
     /// time, and since this one's last sign of life, that it is probably lost too.
-    pub fn is_domain_falling(&self, subject: Subject<'_>, now_ms: u64) -> bool {
-        let is_sign = |loss: &&Loss| {
-            *loss.domain == *subject.domain
-                && *loss.service == *subject.service
-                && loss.at_ms >= subject.alive_ms
-                && loss.at_ms + DOMAIN_SIGN_MS > now_ms
+    pub fn has_correlated_losses(&self, upstream: QueriedUpstream<'_>, now_ms: u64) -> bool {
+        let casts_suspicion = |loss: &&Loss| {
+            *loss.domain == *upstream.domain
+                && *loss.service == *upstream.service
+                && loss.at_ms >= upstream.alive_ms
+                && loss.at_ms + DOMAIN_SUSPICION_MS > now_ms
         };
-        self.known.values().filter(is_sign).count() >= DOMAIN_LOSSES
+        self.known.values().filter(casts_suspicion).count() >= MIN_CORRELATED_LOSSES
     }
 }
--- a/src/gateway/traffic/losses.rs
+++ b/src/gateway/traffic/losses.rs
@@ -13,7 +13,7 @@
 use super::super::channel::{self, Fault};
 use super::super::dialect::EngineState;
 use super::super::fleet::Upstream;
-use super::super::policy::losses::{Loss, Subject};
+use super::super::policy::losses::{Loss, QueriedUpstream};
 use super::super::policy::silence::Sighting;
 use super::super::view::View;
 use super::super::worker::Worker;
@@ -227,10 +227,10 @@
     ) {
         let mut losses = self.losses.borrow_mut();
         let is_final = |id: &str| workers.get(id).is_some_and(|worker| worker.is_replaced());
-        losses.forget(now_ms, is_final);
+        losses.expire(now_ms, is_final);
         for id in view.lost.iter() {
             let Some(worker) = workers.get(id) else { continue };
-            losses.hear(id, loss_of(worker, now_ms, false));
+            losses.note_reported(id, loss_of(worker, now_ms, false));
         }
     }
 
@@ -269,7 +269,7 @@
     pub fn is_doubtful(&self, worker: &Worker, now_ms: u64) -> bool {
         let is_falling = || {
             Mechanism::Doubt.is_on()
-                && self.losses.borrow().is_domain_falling(subject(worker), now_ms)
+                && self.losses.borrow().has_correlated_losses(subject(worker), now_ms)
         };
         self.is_lost(worker, now_ms) || is_falling()
     }
@@ -280,8 +280,8 @@
     Loss { service: Arc::clone(service), domain: Arc::clone(domain), at_ms, is_own }
 }
 
-fn subject(worker: &Worker) -> Subject<'_> {
-    Subject {
+fn subject(worker: &Worker) -> QueriedUpstream<'_> {
+    QueriedUpstream {
         id: &worker.upstream.id,
         service: &worker.upstream.service,
         domain: &worker.upstream.domain,
--- a/tests/gateway/decisions.rs
+++ b/tests/gateway/decisions.rs
@@ -7,7 +7,7 @@
 use siskinrock::gateway::fleet::{Change, Fleet, Upstream};
 use siskinrock::gateway::policy::budget::{Bound, Budget};
 use siskinrock::gateway::policy::engine::Load;
-use siskinrock::gateway::policy::losses::{Loss, Losses, Subject};
+use siskinrock::gateway::policy::losses::{Loss, Losses, QueriedUpstream};
 use siskinrock::gateway::policy::outages::Outages;
 use siskinrock::gateway::policy::placement::{Candidate, Constraints, choose};
 use siskinrock::gateway::policy::rediscovered::Rediscovered;
@@ -238,39 +238,41 @@
     Loss { service: "plan".into(), domain: "hall".into(), at_ms, is_own }
 }
 
-fn subject(id: &str, alive_ms: u64) -> Subject<'_> {
-    Subject { id, service: "plan", domain: "hall", alive_ms }
+fn queried(id: &str, alive_ms: u64) -> QueriedUpstream<'_> {
+    QueriedUpstream { id, service: "plan", domain: "hall", alive_ms }
 }
 
 #[test]
 fn a_falling_domain_makes_its_engines_doubtful_for_a_moment() {
     let mut losses = Losses::default();
     losses.note(&"a".into(), loss(1_000, true));
-    losses.hear(&"b".into(), loss(1_010, false));
-    assert!(!losses.is_domain_falling(subject("x", 0), 1_020), "two may fail by chance");
-    losses.hear(&"c".into(), loss(1_020, false));
-    assert!(losses.is_domain_falling(subject("x", 0), 1_020));
-    assert!(!losses.is_domain_falling(subject("x", 1_015), 1_020), "it answered meanwhile");
-    assert!(!losses.is_domain_falling(Subject { domain: "far", ..subject("x", 0) }, 1_020));
+    losses.note_reported(&"b".into(), loss(1_010, false));
+    assert!(!losses.has_correlated_losses(queried("x", 0), 1_020), "two may fail by chance");
+    losses.note_reported(&"c".into(), loss(1_020, false));
+    assert!(losses.has_correlated_losses(queried("x", 0), 1_020));
+    assert!(!losses.has_correlated_losses(queried("x", 1_015), 1_020), "it answered meanwhile");
     assert!(
-        !losses.is_domain_falling(subject("x", 0), 2_000),
+        !losses.has_correlated_losses(QueriedUpstream { domain: "far", ..queried("x", 0) }, 1_020)
+    );
+    assert!(
+        !losses.has_correlated_losses(queried("x", 0), 2_000),
         "whoever is not found lost by now lives: half a domain may fall, and the rest is needed"
     );
-    assert!(losses.is_lost(subject("a", 0)), "what was lost stays lost until it answers");
-    assert!(!losses.is_lost(subject("a", 1_500)));
-    assert!(!losses.is_lost(subject("x", 0)));
+    assert!(losses.is_lost(queried("a", 0)), "what was lost stays lost until it answers");
+    assert!(!losses.is_lost(queried("a", 1_500)));
+    assert!(!losses.is_lost(queried("x", 0)));
 }
 
 #[test]
 fn only_own_losses_are_told_and_old_ones_are_forgotten() {
     let mut losses = Losses::default();
     losses.note(&"a".into(), loss(1_000, true));
-    losses.hear(&"b".into(), loss(1_000, false));
-    losses.hear(&"a".into(), loss(3_000, false));
+    losses.note_reported(&"b".into(), loss(1_000, false));
+    losses.note_reported(&"a".into(), loss(3_000, false));
     assert_eq!(losses.own(), [Arc::from("a")]);
-    losses.forget(6_000, |id| id == "b");
-    assert!(!losses.is_lost(subject("a", 0)));
-    assert!(losses.is_lost(subject("b", 0)), "another one has its address for good");
+    losses.expire(6_000, |id| id == "b");
+    assert!(!losses.is_lost(queried("a", 0)));
+    assert!(losses.is_lost(queried("b", 0)), "another one has its address for good");
 }
 
 fn at(id: &str, port: u16) -> Upstream {
