--- a/src/gateway/front.rs
+++ b/src/gateway/front.rs
@@ -97,7 +97,7 @@
     if *traffic.shared.is_configured.borrow() || !Mechanism::KeptAtStart.is_on() {
         return;
     }
-    let kept_ms = outages::kept_ms(demand.deadline_ms.unwrap_or(DEFAULT_DEADLINE_MS));
+    let kept_ms = outages::startup_hold_ms(demand.deadline_ms.unwrap_or(DEFAULT_DEADLINE_MS));
     let mut is_configured = traffic.shared.is_configured.subscribe();
     let configured = is_configured.wait_for(|is_configured| *is_configured);
     // Without one in time, the request is refused.
@@ -127,7 +127,7 @@
         let is_silent = view.is_directory_silent && Mechanism::RetryAfter.is_on();
         let after_ms = is_silent.then(|| {
             let left_ms = demand.deadline_ms.unwrap_or(DEFAULT_DEADLINE_MS);
-            outages::starting_after_ms(left_ms, &mut fastrand::Rng::new())
+            outages::starting_retry_after_ms(left_ms, &mut fastrand::Rng::new())
         });
         return Err(Rejected { after_ms, ..reject(Failure::Starting) });
     };
--- a/src/gateway/policy/outages.rs
+++ b/src/gateway/policy/outages.rs
@@ -13,38 +13,38 @@
 
 /// Expected duration of an outage while the service has had none: engines that all crashed at once
 /// were back after 5.0 s in two deployments, single ones after 1.2 s.
-const UNSEEN_MS: u64 = 5_000;
+const DEFAULT_OUTAGE_MS: u64 = 5_000;
 /// Minimum delay after the expected end of an outage: upstreams that are back are listed within
 /// this time. It is also the shortest retry time that is given.
-const LEAST_MS: u64 = 300;
+const MIN_RETRY_AFTER_MS: u64 = 300;
 /// Interval over which the callers of an outage are spread. Of 24 engines that are back, one to
 /// three are listed at once and the others within 0.9 s; callers that arrive earlier all go to
 /// those few.
-const SPREAD_MS: u64 = 1_000;
+const RETRY_SPREAD_MS: u64 = 1_000;
 /// Callers accept a retry time of up to the time that they have left, divided by this.
-const HONOURED_PART: u64 = 3;
+const MAX_RETRY_DIVISOR: u64 = 3;
 /// Maximum age of the last loss for it to count as the beginning of an outage: as long as a lost
 /// upstream is kept out. After a longer time, the upstreams left for another reason.
-const LOSS_BEGINS_MS: u64 = 5_000;
+const MAX_LOSS_AGE_MS: u64 = 5_000;
 /// Upper bound on the outages remembered for each service; the longest of them counts.
-const REMEMBERED: usize = 4;
+const MAX_REMEMBERED_OUTAGES: usize = 4;
 
 /// Expected time until upstreams are listed of a service of which this instance has seen none since
 /// it started: entries that lapsed in an outage of the directory are back within two seconds of its
 /// return.
-const UNLISTED_MS: u64 = 2_000;
+const TYPICAL_LISTING_MS: u64 = 2_000;
 /// An instance that started while the directory is unreachable tells its callers to retry after the
 /// time that they have left, divided by this. Nothing indicates how long the outage will last, and
 /// callers retry only once or a few times. A tenth leaves most callers enough time for a useful
 /// answer, and outlasts an outage of a few seconds, for which a fixed half second was too short.
-const STARTING_PART: u64 = 10;
+const STARTING_RETRY_DIVISOR: u64 = 10;
 /// Minimum of that retry time, for callers with little time left, as far as they accept it.
-const STARTING_LEAST_MS: u64 = 800;
+const MIN_STARTING_RETRY_MS: u64 = 800;
 
 /// Callers of full engines are told to retry after the time that they have left, divided by this.
 /// With 25 s left this is 4 to 6 s, in which about half of the running requests end, and enough
 /// time is left for a whole answer.
-const FULL_PART: u64 = 6;
+const FULL_RETRY_DIVISOR: u64 = 6;
 /// An instance that has just started holds a request until a configuration arrives, for at most the
 /// caller's time divided by this. Callers whose connections broke when all instances ended return
 /// within a second and have no further retry; a refusal loses what they have of an answer. Of 25 s
@@ -52,43 +52,43 @@
 /// third of a second. Where the store came back 1.3 s after 75 instances, holding for a twentieth
 /// refused 236 of 1,788 streams, and an eighth refused 40. A quarter serves some more calls, but
 /// releases so many callers at once that about 50 fewer streams are on time.
-const KEPT_PART: u64 = 8;
+const STARTUP_HOLD_DIVISOR: u64 = 8;
 
 /// How long an instance that has just started holds a request of a caller that has `left_ms`,
 /// before it refuses the request for lack of a configuration.
-pub fn kept_ms(left_ms: u64) -> u64 {
-    left_ms / KEPT_PART
+pub fn startup_hold_ms(left_ms: u64) -> u64 {
+    left_ms / STARTUP_HOLD_DIVISOR
 }
 
 /// Retry time for a caller that has `left_ms`, from an instance that has no configuration yet and
 /// can't reach the directory.
-pub fn starting_after_ms(left_ms: u64, random: &mut dyn Random) -> u64 {
-    let wait_ms = (left_ms / STARTING_PART).max(STARTING_LEAST_MS);
+pub fn starting_retry_after_ms(left_ms: u64, random: &mut dyn Random) -> u64 {
+    let wait_ms = (left_ms / STARTING_RETRY_DIVISOR).max(MIN_STARTING_RETRY_MS);
     let spread_ms = random.below(wait_ms / 4 + 1);
-    (wait_ms + spread_ms).min(left_ms / HONOURED_PART)
+    (wait_ms + spread_ms).min(left_ms / MAX_RETRY_DIVISOR)
 }
 
 /// Retry time for a caller that has `left_ms`, from a service whose engines are full. Requests run
 /// for seconds, so capacity is free only after some have ended, and callers retry only once.
-pub fn full_after_ms(left_ms: u64, random: &mut dyn Random) -> u64 {
-    let wait_ms = (left_ms / FULL_PART).max(LEAST_MS);
+pub fn full_retry_after_ms(left_ms: u64, random: &mut dyn Random) -> u64 {
+    let wait_ms = (left_ms / FULL_RETRY_DIVISOR).max(MIN_RETRY_AFTER_MS);
     let spread_ms = random.below(wait_ms / 2 + 1);
-    (wait_ms + spread_ms).min((left_ms / HONOURED_PART).max(LEAST_MS))
+    (wait_ms + spread_ms).min((left_ms / MAX_RETRY_DIVISOR).max(MIN_RETRY_AFTER_MS))
 }
 
 /// The outages of all services.
 #[derive(Debug, Default)]
 pub struct Outages {
-    services: BTreeMap<Arc<str>, Service>,
+    services: BTreeMap<Arc<str>, ServiceOutages>,
 }
 
 #[derive(Debug, Default)]
-struct Service {
+struct ServiceOutages {
     last_lost_ms: Option<u64>,
     down_since_ms: Option<u64>,
     /// Whether an upstream of the service was ever known here.
     was_seen: bool,
-    lasted_ms: VecDeque<u64>,
+    durations_ms: VecDeque<u64>,
 }
 
 impl Outages {
@@ -102,8 +102,8 @@
     /// Records that a service has no upstream left; the outage began with the last loss.
     pub fn note_down(&mut self, service: &Arc<str>, now_ms: u64) {
         let known = self.services.entry(Arc::clone(service)).or_default();
-        let begins = |lost_ms: &u64| lost_ms + LOSS_BEGINS_MS >= now_ms;
-        let began_ms = known.last_lost_ms.filter(begins).unwrap_or(now_ms);
+        let is_recent = |lost_ms: &u64| lost_ms + MAX_LOSS_AGE_MS >= now_ms;
+        let began_ms = known.last_lost_ms.filter(is_recent).unwrap_or(now_ms);
         known.down_since_ms.get_or_insert(began_ms);
     }
 
@@ -111,7 +111,7 @@
     /// before.
     pub fn note_alive(&mut self, service: &str, alive_ms: u64) {
         let Some(known) = self.services.get_mut(service) else {
-            let known = Service { was_seen: true, ..Service::default() };
+            let known = ServiceOutages { was_seen: true, ..ServiceOutages::default() };
             self.services.insert(Arc::from(service), known);
             return;
         };
@@ -120,9 +120,9 @@
             return;
         };
         known.down_since_ms = None;
-        known.lasted_ms.push_back(alive_ms - since_ms);
-        if known.lasted_ms.len() > REMEMBERED {
-            known.lasted_ms.pop_front();
+        known.durations_ms.push_back(alive_ms - since_ms);
+        if known.durations_ms.len() > MAX_REMEMBERED_OUTAGES {
+            known.durations_ms.pop_front();
         }
     }
 
@@ -135,14 +135,17 @@
         random: &mut dyn Random,
     ) -> Option<u64> {
         let known = self.services.get(service)?;
-        let lasts_ms = now_ms.saturating_sub(known.down_since_ms?);
-        let expected_ms = known.lasted_ms.iter().max().copied();
-        let unseen_ms = if known.was_seen { UNSEEN_MS } else { UNLISTED_MS };
-        let expected_ms = expected_ms.unwrap_or(unseen_ms);
+        let elapsed_ms = now_ms.saturating_sub(known.down_since_ms?);
+        let expected_ms = known.durations_ms.iter().max().copied();
+        let default_ms = if known.was_seen { DEFAULT_OUTAGE_MS } else { TYPICAL_LISTING_MS };
+        let expected_ms = expected_ms.unwrap_or(default_ms);
         // An outage longer than all earlier ones is expected to last half as long again as it
         // already has.
-        let rest_ms = expected_ms.checked_sub(lasts_ms).unwrap_or(lasts_ms / 2);
-        let honoured_ms = (left_ms / HONOURED_PART).max(LEAST_MS);
-        Some((rest_ms + LEAST_MS + random.below(SPREAD_MS)).clamp(LEAST_MS, honoured_ms))
+        let remaining_ms = expected_ms.checked_sub(elapsed_ms).unwrap_or(elapsed_ms / 2);
+        let max_retry_ms = (left_ms / MAX_RETRY_DIVISOR).max(MIN_RETRY_AFTER_MS);
+        Some(
+            (remaining_ms + MIN_RETRY_AFTER_MS + random.below(RETRY_SPREAD_MS))
+                .clamp(MIN_RETRY_AFTER_MS, max_retry_ms),
+        )
     }
 }
--- a/src/gateway/traffic.rs
+++ b/src/gateway/traffic.rs
@@ -163,7 +163,7 @@
             Failure::NoUpstream => self.retry_after_ms(&job.service, left_ms),
             Failure::Quarantined { .. } | Failure::Poison { .. } => self.quarantine_left_ms(job),
             Failure::Full | Failure::TooManyRepeats if job.route.repeat.is_stream() => {
-                Some(outages::full_after_ms(left_ms, &mut fastrand::Rng::new()))
+                Some(outages::full_retry_after_ms(left_ms, &mut fastrand::Rng::new()))
             }
             _ => None,
         }
--- a/tests/gateway/patience.rs
+++ b/tests/gateway/patience.rs
@@ -240,10 +240,10 @@
 ) {
     let mut random = fastrand::Rng::with_seed(9);
     for _ in 0..200 {
-        let after_ms = outages::starting_after_ms(left_ms, &mut random);
+        let after_ms = outages::starting_retry_after_ms(left_ms, &mut random);
         assert!((least_ms..=most_ms).contains(&after_ms), "{after_ms}");
     }
-    assert!(outages::kept_ms(left_ms) * 8 <= left_ms, "a refusal comes early");
+    assert!(outages::startup_hold_ms(left_ms) * 8 <= left_ms, "a refusal comes early");
 }
 
 /// After an outage of the directory, entries are back within two seconds. A service of which an
@@ -310,7 +310,7 @@
 fn a_full_service_names_a_time_that_its_callers_honour(left_ms: u64, least_ms: u64, most_ms: u64) {
     let mut random = fastrand::Rng::with_seed(3);
     for _ in 0..100 {
-        let after_ms = outages::full_after_ms(left_ms, &mut random);
+        let after_ms = outages::full_retry_after_ms(left_ms, &mut random);
         assert!((least_ms..=most_ms).contains(&after_ms), "{after_ms}");
     }
 }
