--- a/bench/src/lab/model.rs
+++ b/bench/src/lab/model.rs
@@ -463,7 +463,7 @@
                 slots: Some(*self.experiment.engines.slots.get_ref() as u32),
                 kept_tokens: 0,
             },
-            failing: 0.0,
+            failure_rate: 0.0,
             is_suspect: false,
         };
         let candidates: Vec<Candidate> = known.iter().map(candidate).collect();
@@ -530,8 +530,10 @@
             let lost_ms = self.runs[index].lost_ms.unwrap_or(f64::NEG_INFINITY);
             self.is_on(Mechanism::Avoid) && lost_ms + AVOID_MS > self.now_ms
         });
-        let constraints =
-            Constraints { not_domains: avoided.into_iter().collect(), ..Constraints::default() };
+        let constraints = Constraints {
+            avoided_domains: avoided.into_iter().collect(),
+            ..Constraints::default()
+        };
         match self.choose(index, &constraints) {
             Some(engine) => self.start(index, engine, false),
             None => self.schedule(self.now_ms + LOOK_AGAIN_MS, Event::Place { run: index }),
@@ -561,7 +563,7 @@
             return;
         }
         let constraints = Constraints {
-            not: vec![Arc::clone(&self.engines[engine].id)],
+            excluded: vec![Arc::clone(&self.engines[engine].id)],
             apart_from: Some(Arc::clone(&self.engines[engine].domain)),
             ..Constraints::default()
         };
--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -77,8 +77,10 @@
 
 /// Serves a call that isn't a stream.
 pub async fn serve(traffic: &Rc<Traffic>, job: &Job) -> Answer {
-    let mut constraints =
-        Constraints { near: Some(Arc::clone(&traffic.settings.domain)), ..Constraints::default() };
+    let mut constraints = Constraints {
+        preferred_domain: Some(Arc::clone(&traffic.settings.domain)),
+        ..Constraints::default()
+    };
     // Attempts that count against the route's bound, and all that reached an upstream.
     let mut sent = 0;
     let mut arrived = 0;
@@ -93,7 +95,7 @@
         let Some(worker) = traffic.choose(&job.service, &constraints) else {
             return finish(job, traffic, last, may_have_run);
         };
-        constraints.not.push(Arc::clone(&worker.upstream.id));
+        constraints.excluded.push(Arc::clone(&worker.upstream.id));
         let can_hedge = Mechanism::Hedge.is_on()
             && job.route.repeat == Repeat::Idempotent
             && sent + 1 < job.route.max_attempts;
@@ -232,14 +234,14 @@
         return None;
     }
     let apart = Constraints {
-        not_domains: vec![Arc::clone(&worker.upstream.domain)],
+        avoided_domains: vec![Arc::clone(&worker.upstream.domain)],
         ..constraints.clone()
     };
     let other = traffic.choose(&job.service, &apart)?;
     if traffic.is_doubtful(&other, traffic.now_ms()) {
         return None;
     }
-    constraints.not.push(Arc::clone(&other.upstream.id));
+    constraints.excluded.push(Arc::clone(&other.upstream.id));
     Some(other)
 }
 
@@ -251,7 +253,7 @@
 ) -> Option<(Whole, Rc<Worker>)> {
     loop {
         let worker = traffic.choose(&job.service, constraints)?;
-        constraints.not.push(Arc::clone(&worker.upstream.id));
+        constraints.excluded.push(Arc::clone(&worker.upstream.id));
         match attempt(traffic, job, &worker, false).await {
             Outcome::Answered(whole) if whole.status < 500 => return Some((whole, worker)),
             Outcome::Throttled => {}
--- a/src/gateway/policy/placement.rs
+++ b/src/gateway/policy/placement.rs
@@ -11,9 +11,9 @@
 
 /// Cost of another failure domain, in units of one request's load: traffic between domains is paid
 /// for, but a busier engine slows every run on it.
-const DOMAIN_BONUS: f64 = 0.75;
+const CROSS_DOMAIN_COST: f64 = 0.75;
 /// Cost of an upstream that failed every recent request, in requests.
-const FAILING_WEIGHT: f64 = 24.0;
+const FAILURE_COST: f64 = 24.0;
 
 /// An upstream as input of the choice.
 #[derive(Debug, Clone, PartialEq)]
@@ -25,7 +25,7 @@
     /// Its known load.
     pub load: Load,
     /// Fraction of its recent requests that failed, 0 to 1.
-    pub failing: f64,
+    pub failure_rate: f64,
     /// Whether it is suspected to be lost.
     pub is_suspect: bool,
 }
@@ -36,14 +36,14 @@
     /// Resources that the request needs on an engine.
     pub need: Need,
     /// Upstreams that must not be chosen.
-    pub not: Vec<Arc<str>>,
+    pub excluded: Vec<Arc<str>>,
     /// Failure domains to avoid as long as others have a candidate.
-    pub not_domains: Vec<Arc<str>>,
+    pub avoided_domains: Vec<Arc<str>>,
     /// Failure domain of the run whose copy is placed: a copy there would be lost together with the
     /// run.
     pub apart_from: Option<Arc<str>>,
     /// Failure domain with the lowest traffic cost.
-    pub near: Option<Arc<str>>,
+    pub preferred_domain: Option<Arc<str>>,
 }
 
 /// Returns the upstreams at whose address another one was listed later, so that they no longer
@@ -73,22 +73,23 @@
     unseen: f64,
     random: &mut dyn Random,
 ) -> Option<usize> {
-    let fits = |candidate: &Candidate| !constraints.not.contains(&candidate.id);
+    let fits = |candidate: &Candidate| !constraints.excluded.contains(&candidate.id);
     let fitting = candidates.iter().enumerate().filter(|(_, candidate)| fits(candidate));
     let (indices, costs): (Vec<usize>, Vec<f64>) =
         fitting.map(|(index, candidate)| (index, cost(candidate, constraints))).unzip();
-    let least = costs.iter().copied().min_by(f64::total_cmp)?;
-    let good: Vec<f64> = costs.iter().copied().filter(|cost| cost - least < LAST_RESORT).collect();
+    let min_cost = costs.iter().copied().min_by(f64::total_cmp)?;
+    let good: Vec<f64> =
+        costs.iter().copied().filter(|cost| cost - min_cost < LAST_RESORT_COST).collect();
     let spread = spread::spread(&good, unseen);
-    let weight = |cost: &f64| (WEIGHT_UNIT * spread::weight(cost - least, spread)) as u64;
+    let weight = |cost: &f64| (WEIGHT_UNIT * spread::weight(cost - min_cost, spread)) as u64;
     let total: u64 = costs.iter().map(weight).sum();
-    let mut left = random.below(total.max(1));
+    let mut remaining = random.below(total.max(1));
     for (index, cost) in indices.into_iter().zip(&costs) {
         let weight = weight(cost);
-        if left < weight {
+        if remaining < weight {
             return Some(index);
         }
-        left -= weight;
+        remaining -= weight;
     }
     None
 }
@@ -97,21 +98,25 @@
 const WEIGHT_UNIT: f64 = 1e6;
 
 /// Exceeds the cost of any real load, so that candidates with this cost are a last resort.
-const LAST_RESORT: f64 = 1e6;
+const LAST_RESORT_COST: f64 = 1e6;
 
 fn cost(candidate: &Candidate, constraints: &Constraints) -> f64 {
-    let mut cost = candidate.load.cost(constraints.need) + FAILING_WEIGHT * candidate.failing;
-    if constraints.near.as_ref().is_some_and(|near| *near != candidate.domain) {
-        cost += DOMAIN_BONUS;
+    let mut cost = candidate.load.cost(constraints.need) + FAILURE_COST * candidate.failure_rate;
+    if constraints
+        .preferred_domain
+        .as_ref()
+        .is_some_and(|preferred_domain| *preferred_domain != candidate.domain)
+    {
+        cost += CROSS_DOMAIN_COST;
     }
-    if constraints.not_domains.contains(&candidate.domain) {
-        cost += LAST_RESORT;
+    if constraints.avoided_domains.contains(&candidate.domain) {
+        cost += LAST_RESORT_COST;
     }
     if constraints.apart_from.as_ref() == Some(&candidate.domain) {
-        cost += 2.0 * LAST_RESORT;
+        cost += 2.0 * LAST_RESORT_COST;
     }
     if candidate.is_suspect {
-        cost += 4.0 * LAST_RESORT;
+        cost += 4.0 * LAST_RESORT_COST;
     }
     cost
 }
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -367,10 +367,10 @@
         }
         let constraints = Constraints {
             need: self.need(),
-            not: self.left.clone(),
-            not_domains: self.lost_domains(),
+            excluded: self.left.clone(),
+            avoided_domains: self.lost_domains(),
             apart_from: None,
-            near: Some(Arc::clone(&self.traffic.settings.domain)),
+            preferred_domain: Some(Arc::clone(&self.traffic.settings.domain)),
         };
         let prompt = &self.job.demand.prompt_parts;
         let chosen = self.traffic.choose_for(&self.job.service, &constraints, prompt);
--- a/src/gateway/stream/copy.rs
+++ b/src/gateway/stream/copy.rs
@@ -76,15 +76,15 @@
         if is_off || self.is_late || !can_copy || self.job.route.repeat != Repeat::Resumable {
             return None;
         }
-        let mut not = self.left.clone();
-        not.push(Arc::clone(&worker.upstream.id));
+        let mut excluded = self.left.clone();
+        excluded.push(Arc::clone(&worker.upstream.id));
         let need = self.need();
         let constraints = Constraints {
             need,
-            not,
-            not_domains: self.lost_domains(),
+            excluded,
+            avoided_domains: self.lost_domains(),
             apart_from: Some(Arc::clone(&worker.upstream.domain)),
-            near: None,
+            preferred_domain: None,
         };
         let chosen = self.traffic.choose(&self.job.service, &constraints)?;
         let has_room = || self.traffic.standing(&chosen).load.has_room(need);
--- a/src/gateway/traffic.rs
+++ b/src/gateway/traffic.rs
@@ -481,7 +481,7 @@
             id: Arc::clone(&worker.upstream.id),
             domain: Arc::clone(&worker.upstream.domain),
             load,
-            failing: worker.failing(now_ms),
+            failure_rate: worker.failing(now_ms),
             is_suspect: self.is_doubtful(worker, now_ms),
         }
     }
--- a/tests/gateway/decisions.rs
+++ b/tests/gateway/decisions.rs
@@ -99,7 +99,7 @@
         id: id.into(),
         domain: domain.into(),
         load: Load { runs, ..Load::default() },
-        failing: 0.0,
+        failure_rate: 0.0,
         is_suspect: false,
     }
 }
@@ -159,13 +159,14 @@
 fn suspects_and_lost_domains_are_a_last_resort() {
     let mut random = fastrand::Rng::with_seed(1);
     let mut candidates = vec![candidate("near", "a", 0.0), candidate("far", "b", 20.0)];
-    let constraints = Constraints { not_domains: vec!["a".into()], ..Constraints::default() };
+    let constraints = Constraints { avoided_domains: vec!["a".into()], ..Constraints::default() };
     for _ in 0..50 {
         assert_eq!(choose(&candidates, &constraints, 0.0, &mut random), Some(1));
     }
     candidates[1].is_suspect = true;
     assert_eq!(choose(&candidates, &constraints, 0.0, &mut random), Some(0));
-    let nobody = Constraints { not: vec!["near".into(), "far".into()], ..Constraints::default() };
+    let nobody =
+        Constraints { excluded: vec!["near".into(), "far".into()], ..Constraints::default() };
     assert_eq!(choose(&candidates, &nobody, 0.0, &mut random), None);
 }
 
@@ -226,7 +227,7 @@
         names.iter().map(|name| candidate(name, name, 0.0)).collect();
     candidates.iter_mut().for_each(|known| known.is_suspect = &*known.id == "gone");
     let constraints = Constraints {
-        not_domains: vec!["lost".into()],
+        avoided_domains: vec!["lost".into()],
         apart_from: Some("own".into()),
         ..Constraints::default()
     };
--- a/tests/gateway/engine.rs
+++ b/tests/gateway/engine.rs
@@ -91,7 +91,7 @@
             id: format!("e{number}").into(),
             domain: "hall".into(),
             load: Load { memory_tokens: load.memory_tokens.filter(|_| is_announced), ..*load },
-            failing: 0.0,
+            failure_rate: 0.0,
             is_suspect: false,
         };
         let candidates: Vec<Candidate> = engines.iter().enumerate().map(candidate).collect();
