--- a/src/gateway/policy/mod.rs
+++ b/src/gateway/policy/mod.rs
@@ -7,6 +7,7 @@
 pub mod active;
 pub mod admission;
 pub mod budget;
+pub mod cache_lookup;
 pub mod coincidence;
 pub mod departures;
 pub mod engine;
@@ -19,7 +20,6 @@
 pub mod placement;
 pub mod quarantine;
 pub mod rate_limit;
-pub mod recall;
 pub mod rediscovered;
 pub mod scaling;
 pub mod silence;
--- a/src/gateway/traffic/places.rs
+++ b/src/gateway/traffic/places.rs
@@ -11,7 +11,7 @@
 use hyper::Method;
 
 use super::super::dialect::{Demand, PromptPart};
-use super::super::policy::recall;
+use super::super::policy::cache_lookup;
 use super::super::view::{Signal, View};
 use super::super::worker::Worker;
 use super::Traffic;
@@ -150,7 +150,7 @@
             self.recalled.borrow_mut().insert(Arc::from(service));
             tokio::task::spawn_local(Rc::clone(self).ask_kept(Arc::from(service)));
         }
-        let until_ms = started_ms + recall::WAIT_MS;
+        let until_ms = started_ms + cache_lookup::MAX_WAIT_MS;
         while self.place_of(part).is_none() && self.now_ms() < until_ms {
             tokio::time::sleep(Duration::from_millis(LOOK_MS)).await;
         }
@@ -165,14 +165,14 @@
         let fitting = workers
             .into_iter()
             .filter(|worker| worker.upstream.service == service && !worker.is_throttled(now_ms))
-            .filter(|_| recall::asks(instances, &mut random));
+            .filter(|_| cache_lookup::should_ask(instances, &mut random));
         let path = self.dialect.kept_path();
         let mut asked: FuturesUnordered<_> = fitting
             .map(|worker| {
                 let traffic = Rc::clone(&self);
                 async move {
                     let asked = traffic.ask(&worker, Method::GET, path, Bytes::new());
-                    let limit = Duration::from_millis(recall::WAIT_MS);
+                    let limit = Duration::from_millis(cache_lookup::MAX_WAIT_MS);
                     let answered =
                         tokio::time::timeout(limit, asked).await.ok().and_then(Result::ok);
                     (worker, answered)
--- a/tests/gateway/patience.rs
+++ b/tests/gateway/patience.rs
@@ -5,11 +5,11 @@
 use siskinrock::gateway::fleet::{Change, Fleet, Upstream};
 use siskinrock::gateway::policy::admission::{EngineActivity, LateRequest};
 use siskinrock::gateway::policy::budget::{Bound, Budget};
+use siskinrock::gateway::policy::cache_lookup;
 use siskinrock::gateway::policy::hedge;
 use siskinrock::gateway::policy::latency::Latencies;
 use siskinrock::gateway::policy::outages::{self, Outages};
 use siskinrock::gateway::policy::placement;
-use siskinrock::gateway::policy::recall;
 use siskinrock::gateway::policy::rediscovered::Rediscovered;
 use siskinrock::gateway::policy::silence::{self, Patience, Sighting, Silence, Verdict, Why};
 use siskinrock::gateway::policy::sought::Sought;
@@ -297,7 +297,10 @@
     const ENGINES: u32 = 600;
     let mut random = fastrand::Rng::with_seed(7);
     let asked: Vec<u32> = (0..ENGINES)
-        .map(|_| (0..instances).filter(|_| recall::asks(instances, &mut random)).count() as u32)
+        .map(|_| {
+            (0..instances).filter(|_| cache_lookup::should_ask(instances, &mut random)).count()
+                as u32
+        })
         .collect();
     let all: u32 = asked.iter().sum();
     assert!(mean.contains(&(all / ENGINES)), "{all} questions to {ENGINES} engines");
