--- a/bench/src/lab/model.rs
+++ b/bench/src/lab/model.rs
@@ -12,7 +12,7 @@
 use siskinrock::gateway::policy::admission::{self, EngineActivity, LateRequest};
 use siskinrock::gateway::policy::engine::{self, Need};
 use siskinrock::gateway::policy::placement::{self, Candidate, Constraints};
-use siskinrock::gateway::policy::silence::Patience;
+use siskinrock::gateway::policy::silence::SilenceTimeouts;
 
 use super::experiment::{Experiment, Fault};
 
@@ -646,9 +646,10 @@
 
     fn lose_run(&mut self, index: usize, engine: usize, is_dark: bool) {
         let streams = &self.experiment.streams;
-        let patience = Patience::of(*streams.objective_ms.get_ref(), *streams.gap_ms.get_ref());
+        let patience =
+            SilenceTimeouts::of(*streams.objective_ms.get_ref(), *streams.gap_ms.get_ref());
         let is_running = self.runs[index].first_ms.is_some();
-        let quiet_ms = if is_running { patience.gap_ms } else { patience.first_ms };
+        let quiet_ms = if is_running { patience.gap_ms } else { patience.first_event_ms };
         let seen_ms = if is_dark { quiet_ms as f64 + STATE_MS } else { RESET_MS };
         self.hold(index, engine, |held| held.runs -= 1);
         let lost_domain = Arc::clone(&self.engines[engine].domain);
--- a/src/gateway/policy/silence.rs
+++ b/src/gateway/policy/silence.rs
@@ -49,11 +49,11 @@
 /// How long a stream may be silent before each reaction. The timeouts are fractions of what the
 /// route declares, since the pause that callers allow does not depend on the machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Patience {
+pub struct SilenceTimeouts {
     /// Before the first event, until the engine's state is requested: a fifth of the objective, so
     /// that an answer that was lost at once can still come in time from elsewhere; but not before
     /// the engine's state can include the run.
-    pub first_ms: u64,
+    pub first_event_ms: u64,
     /// Between events, until the engine's state is requested: a fifth of the allowed pause. The
     /// request takes another fifth, and resuming elsewhere up to two.
     pub gap_ms: u64,
@@ -62,25 +62,25 @@
     pub reading_gap_ms: u64,
     /// Until a run with a copy elsewhere is resumed there, although its engine is alive, reads no
     /// prompt and has the run: the rest of the allowed pause is enough to resume.
-    pub stuck_ms: u64,
+    pub stalled_ms: u64,
     /// The same while the engine is reading prompts: it makes progress, and events are late from
     /// all engines alike. This is the whole pause: with a shorter one, 120 runs were taken from
     /// engines that read half as fast as usual, and the benefit fell by a third.
-    pub stuck_reading_ms: u64,
+    pub stalled_reading_ms: u64,
 }
 
-impl Patience {
+impl SilenceTimeouts {
     /// Timeouts for a route that declares these values; 0 stands for none.
-    pub fn of(objective_ms: u64, gap_ms: u64) -> Patience {
+    pub fn of(objective_ms: u64, gap_ms: u64) -> SilenceTimeouts {
         let or_usual = |declared, usual| if declared == 0 { usual } else { declared };
         let objective_ms = or_usual(objective_ms, USUAL_OBJECTIVE_MS);
         let gap_ms = or_usual(gap_ms, USUAL_GAP_MS);
-        Patience {
-            first_ms: (objective_ms / 5).max(STATE_AGE_MS),
+        SilenceTimeouts {
+            first_event_ms: (objective_ms / 5).max(STATE_AGE_MS),
             gap_ms: (gap_ms / 5).max(LEAST_QUIET_MS),
             reading_gap_ms: (gap_ms * 2 / 5).max(LEAST_QUIET_MS),
-            stuck_ms: gap_ms * 2 / 3,
-            stuck_reading_ms: gap_ms,
+            stalled_ms: gap_ms * 2 / 3,
+            stalled_reading_ms: gap_ms,
         }
     }
 }
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -24,7 +24,7 @@
 use super::policy::admission;
 use super::policy::engine::Need;
 use super::policy::placement::Constraints;
-use super::policy::silence::Patience;
+use super::policy::silence::SilenceTimeouts;
 use super::route::Repeat;
 use super::traffic::Traffic;
 use super::worker::Worker;
@@ -388,8 +388,8 @@
     }
 
     /// How long the route lets the stream be quiet.
-    fn patience(&self) -> Patience {
-        Patience::of(self.job.route.target_latency_ms, self.job.route.target_gap_ms)
+    fn patience(&self) -> SilenceTimeouts {
+        SilenceTimeouts::of(self.job.route.target_latency_ms, self.job.route.target_gap_ms)
     }
 
     /// The prompt's last part, which is the request's own.
--- a/src/gateway/stream/attempt.rs
+++ b/src/gateway/stream/attempt.rs
@@ -148,7 +148,8 @@
         let sent_ms = traffic.now_ms();
         let mut silence = Silence::before_first(sent_ms, self.overdue_ms());
         let response = loop {
-            let wake_ms = (traffic.now_ms() + self.patience().first_ms).min(self.job.until_ms);
+            let wake_ms =
+                (traffic.now_ms() + self.patience().first_event_ms).min(self.job.until_ms);
             tokio::select! {
                 response = sending.as_mut() => break response,
                 () = caller_left(&mut self.head, &self.body) => return Err(Outcome::CallerLeft),
--- a/src/gateway/stream/relay.rs
+++ b/src/gateway/stream/relay.rs
@@ -56,7 +56,7 @@
         let mut silence = Silence::new(heard_ms);
         loop {
             let quiet_ms = match reading {
-                Some(_) => patience.first_ms,
+                Some(_) => patience.first_event_ms,
                 None if traffic.reading_at(worker) > 0 => patience.reading_gap_ms,
                 None => patience.gap_ms,
             };
@@ -160,7 +160,8 @@
         }
         let patience = self.patience();
         let is_at_prompts = life.is_reading();
-        let stuck_ms = if is_at_prompts { patience.stuck_reading_ms } else { patience.stuck_ms };
+        let stuck_ms =
+            if is_at_prompts { patience.stalled_reading_ms } else { patience.stalled_ms };
         let stuck_ms = times.heard_ms + stuck_ms;
         tokio::select! {
             frame = body.frame() => Quiet::Frame(frame),
--- a/tests/gateway/patience.rs
+++ b/tests/gateway/patience.rs
@@ -11,7 +11,9 @@
 use siskinrock::gateway::policy::outages::{self, Outages};
 use siskinrock::gateway::policy::placement;
 use siskinrock::gateway::policy::rediscovered::Rediscovered;
-use siskinrock::gateway::policy::silence::{self, Patience, Sighting, Silence, Verdict, Why};
+use siskinrock::gateway::policy::silence::{
+    self, Sighting, Silence, SilenceTimeouts, Verdict, Why,
+};
 use siskinrock::gateway::policy::sought::Sought;
 use siskinrock::platform::document;
 use yare::parameterized;
@@ -98,13 +100,16 @@
 
 #[test]
 fn patience_is_a_part_of_what_the_route_declares() {
-    let usual = Patience::of(4_500, 700);
-    assert_eq!(Patience::of(0, 0), usual, "no declaration");
-    assert_eq!((usual.first_ms, usual.gap_ms, usual.stuck_reading_ms), (900, 140, 700));
-    let slow = Patience::of(45_000, 7_000);
-    assert_eq!((slow.first_ms, slow.gap_ms, slow.stuck_ms), (9_000, 1_400, 4_666));
-    let tiny = Patience::of(1, 1);
-    assert!(tiny.first_ms >= 500 && tiny.gap_ms >= 50, "no question each millisecond: {tiny:?}");
+    let usual = SilenceTimeouts::of(4_500, 700);
+    assert_eq!(SilenceTimeouts::of(0, 0), usual, "no declaration");
+    assert_eq!((usual.first_event_ms, usual.gap_ms, usual.stalled_reading_ms), (900, 140, 700));
+    let slow = SilenceTimeouts::of(45_000, 7_000);
+    assert_eq!((slow.first_event_ms, slow.gap_ms, slow.stalled_ms), (9_000, 1_400, 4_666));
+    let tiny = SilenceTimeouts::of(1, 1);
+    assert!(
+        tiny.first_event_ms >= 500 && tiny.gap_ms >= 50,
+        "no question each millisecond: {tiny:?}"
+    );
 }
 
 #[test]
