--- a/src/gateway/policy/silence.rs
+++ b/src/gateway/policy/silence.rs
@@ -9,21 +9,21 @@
 use super::latency::Latencies;
 
 /// Allowed pause between events on a route that declares none.
-const USUAL_GAP_MS: u64 = 700;
+const DEFAULT_GAP_MS: u64 = 700;
 /// Minimum of the timeouts between events: a message that is lost between domains and sent again at
 /// once, or a process that is scheduled late, takes as long.
-const LEAST_QUIET_MS: u64 = 50;
+const MIN_GAP_TIMEOUT_MS: u64 = 50;
 /// Objective for the first event on a route that declares none.
-const USUAL_OBJECTIVE_MS: u64 = 4_500;
+const DEFAULT_OBJECTIVE_MS: u64 = 4_500;
 
 /// A first event is overdue after this multiple of the time that nearly all others took. An
 /// engine's state does not tell whether a prompt that it holds is being read, so only other
 /// requests give an estimate.
-const OVERDUE: f64 = 2.0;
+const OVERDUE_FACTOR: f64 = 2.0;
 /// Upper bound on how often the time is doubled.
-const MOST_DOUBLINGS: u32 = 6;
+const MAX_DOUBLINGS: u32 = 6;
 /// Percentile of the first events that the estimate is based on.
-const NEARLY_ALL: f64 = 0.95;
+const FIRST_EVENT_PERCENTILE: f64 = 0.95;
 
 /// Time after which the first event of a prompt is overdue at the next engine, from the
 /// microseconds per prompt token that other requests took. While too few are known, it is twice the
@@ -37,13 +37,13 @@
     objective_ms: u64,
     attempts: u32,
 ) -> u64 {
-    let objective_ms = if objective_ms == 0 { USUAL_OBJECTIVE_MS } else { objective_ms };
-    let usual_ms = match us_per_token.quantile(NEARLY_ALL) {
+    let objective_ms = if objective_ms == 0 { DEFAULT_OBJECTIVE_MS } else { objective_ms };
+    let typical_ms = match us_per_token.quantile(FIRST_EVENT_PERCENTILE) {
         Some(us) if prompt_tokens > 0 => us.saturating_mul(prompt_tokens) / 1_000,
         _ => objective_ms,
     };
-    let overdue_ms = (usual_ms as f64 * OVERDUE) as u64;
-    overdue_ms.saturating_mul(1 << attempts.min(MOST_DOUBLINGS))
+    let overdue_ms = (typical_ms as f64 * OVERDUE_FACTOR) as u64;
+    overdue_ms.saturating_mul(1 << attempts.min(MAX_DOUBLINGS))
 }
 
 /// How long a stream may be silent before each reaction. The timeouts are fractions of what the
@@ -72,13 +72,13 @@
 impl SilenceTimeouts {
     /// Timeouts for a route that declares these values; 0 stands for none.
     pub fn of(objective_ms: u64, gap_ms: u64) -> SilenceTimeouts {
-        let or_usual = |declared, usual| if declared == 0 { usual } else { declared };
-        let objective_ms = or_usual(objective_ms, USUAL_OBJECTIVE_MS);
-        let gap_ms = or_usual(gap_ms, USUAL_GAP_MS);
+        let or_default = |declared, default| if declared == 0 { default } else { declared };
+        let objective_ms = or_default(objective_ms, DEFAULT_OBJECTIVE_MS);
+        let gap_ms = or_default(gap_ms, DEFAULT_GAP_MS);
         SilenceTimeouts {
-            first_event_ms: (objective_ms / 5).max(STATE_AGE_MS),
-            gap_ms: (gap_ms / 5).max(LEAST_QUIET_MS),
-            reading_gap_ms: (gap_ms * 2 / 5).max(LEAST_QUIET_MS),
+            first_event_ms: (objective_ms / 5).max(MAX_STATE_AGE_MS),
+            gap_ms: (gap_ms / 5).max(MIN_GAP_TIMEOUT_MS),
+            reading_gap_ms: (gap_ms * 2 / 5).max(MIN_GAP_TIMEOUT_MS),
             stalled_ms: gap_ms * 2 / 3,
             stalled_reading_ms: gap_ms,
         }
@@ -88,14 +88,14 @@
 /// Maximum age of an engine's state, which is collected a few times a second. A run that was sent,
 /// or produced an event, less than this before the state was requested may be missing from it and
 /// still exist.
-const STATE_AGE_MS: u64 = 500;
+const MAX_STATE_AGE_MS: u64 = 500;
 /// Time in which a run that is worked on shows progress: several states, each with one more chunk
 /// of its prompt or one more event.
-const PROGRESS_MS: u64 = 1_500;
+const PROGRESS_TIMEOUT_MS: u64 = 1_500;
 
 /// What an engine's state says of one run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Sighting {
+pub enum RunStatus {
     /// The state lists no runs.
     Untold,
     /// The run is not listed, but some requests have produced no event yet, and this may be one of
@@ -115,8 +115,8 @@
 /// Whether an engine has preempted a run that produced its first event there `since_first_ms` ago:
 /// the state lists all active runs but not this one, which waits behind other prompts to be read
 /// again. If there is a copy elsewhere, resuming there at once keeps the allowed pause.
-pub fn is_put_out(sighting: Sighting, since_first_ms: u64) -> bool {
-    since_first_ms >= STATE_AGE_MS && sighting == Sighting::MayWait
+pub fn is_preempted(status: RunStatus, since_first_ms: u64) -> bool {
+    since_first_ms >= MAX_STATE_AGE_MS && status == RunStatus::MayWait
 }
 
 /// What to do about a silent run.
@@ -125,12 +125,12 @@
     /// Wait, and request the state again later.
     Wait,
     /// Leave the engine.
-    Leave(Why),
+    Leave(LeaveReason),
 }
 
 /// Why a silent run leaves its engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, derive_more::Display)]
-pub enum Why {
+pub enum LeaveReason {
     /// The engine no longer has the run.
     #[display("the engine lives and has no such run")]
     Gone,
@@ -151,11 +151,11 @@
 pub struct Silence {
     since_ms: u64,
     overdue_ms: Option<u64>,
-    seen: Option<Seen>,
+    observed: Option<Observation>,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Seen {
+struct Observation {
     tokens: u64,
     events: u64,
     at_ms: u64,
@@ -164,49 +164,49 @@
 impl Silence {
     /// A run that has just sent something.
     pub fn new(now_ms: u64) -> Silence {
-        Silence { since_ms: now_ms, overdue_ms: None, seen: None }
+        Silence { since_ms: now_ms, overdue_ms: None, observed: None }
     }
 
     /// A run that was just sent, and whose first event is overdue after `overdue_ms`; never if
     /// there can be no further attempt.
-    pub fn before_first(now_ms: u64, overdue_ms: Option<u64>) -> Silence {
-        Silence { since_ms: now_ms, overdue_ms, seen: None }
+    pub fn before_first_event(now_ms: u64, overdue_ms: Option<u64>) -> Silence {
+        Silence { since_ms: now_ms, overdue_ms, observed: None }
     }
 
     /// Judges the run by the engine's state, which was requested at `asked_ms`.
-    pub fn see(&mut self, sighting: Sighting, asked_ms: u64) -> Verdict {
-        if asked_ms < self.since_ms + STATE_AGE_MS {
+    pub fn judge(&mut self, status: RunStatus, asked_ms: u64) -> Verdict {
+        if asked_ms < self.since_ms + MAX_STATE_AGE_MS {
             return Verdict::Wait;
         }
-        match sighting {
-            Sighting::Untold | Sighting::MayWait => self.see_nothing(asked_ms),
-            Sighting::Missing => Verdict::Leave(Why::Gone),
-            Sighting::Listed { tokens, events } => self.see_listed(tokens, events, asked_ms),
+        match status {
+            RunStatus::Untold | RunStatus::MayWait => self.judge_unlisted(asked_ms),
+            RunStatus::Missing => Verdict::Leave(LeaveReason::Gone),
+            RunStatus::Listed { tokens, events } => self.judge_listed(tokens, events, asked_ms),
         }
     }
 
-    fn see_nothing(&self, asked_ms: u64) -> Verdict {
+    fn judge_unlisted(&self, asked_ms: u64) -> Verdict {
         let is_over = |overdue_ms| asked_ms >= self.since_ms.saturating_add(overdue_ms);
         match self.overdue_ms {
-            Some(overdue_ms) if is_over(overdue_ms) => Verdict::Leave(Why::Overdue),
+            Some(overdue_ms) if is_over(overdue_ms) => Verdict::Leave(LeaveReason::Overdue),
             _ => Verdict::Wait,
         }
     }
 
-    fn see_listed(&mut self, tokens: u64, events: u64, asked_ms: u64) -> Verdict {
-        let now = Seen { tokens, events, at_ms: asked_ms };
-        let Some(before) = self.seen else {
-            self.seen = Some(now);
+    fn judge_listed(&mut self, tokens: u64, events: u64, asked_ms: u64) -> Verdict {
+        let now = Observation { tokens, events, at_ms: asked_ms };
+        let Some(before) = self.observed else {
+            self.observed = Some(now);
             return Verdict::Wait;
         };
         if events > before.events {
-            return Verdict::Leave(Why::AnswerLost);
+            return Verdict::Leave(LeaveReason::AnswerLost);
         }
         if tokens != before.tokens {
-            self.seen = Some(now);
+            self.observed = Some(now);
             return Verdict::Wait;
         }
-        let stands = asked_ms >= before.at_ms + PROGRESS_MS;
-        if stands { Verdict::Leave(Why::Standing) } else { Verdict::Wait }
+        let is_stalled = asked_ms >= before.at_ms + PROGRESS_TIMEOUT_MS;
+        if is_stalled { Verdict::Leave(LeaveReason::Standing) } else { Verdict::Wait }
     }
 }
--- a/src/gateway/stream/attempt.rs
+++ b/src/gateway/stream/attempt.rs
@@ -146,7 +146,7 @@
         let traffic = Rc::clone(&self.traffic);
         let mut sending = std::pin::pin!(lease.channel.send(request));
         let sent_ms = traffic.now_ms();
-        let mut silence = Silence::before_first(sent_ms, self.overdue_ms());
+        let mut silence = Silence::before_first_event(sent_ms, self.overdue_ms());
         let response = loop {
             let wake_ms =
                 (traffic.now_ms() + self.patience().first_event_ms).min(self.job.until_ms);
@@ -234,7 +234,7 @@
             return Some(lost("silent, and its state can't be read", Loss::Silent));
         }
         let sighting = life.sighting(self.job.id());
-        let verdict = silence.see(sighting, asked_ms);
+        let verdict = silence.judge(sighting, asked_ms);
         slog::info!(self.traffic.log, "silent run asked about"; "request" => self.job.id(),
             "upstream" => &*worker.upstream.id, "sighting" => ?sighting, "verdict" => ?verdict,
             "told" => %life, "reading" => self.traffic.reading_at(worker),
--- a/src/gateway/stream/relay.rs
+++ b/src/gateway/stream/relay.rs
@@ -155,7 +155,7 @@
             return Quiet::Wait;
         }
         let since_first_ms = asked_ms.saturating_sub(times.first_ms);
-        if silence::is_put_out(life.sighting(self.job.id()), since_first_ms) {
+        if silence::is_preempted(life.sighting(self.job.id()), since_first_ms) {
             return self.hand_over(worker, "engine put the run out of memory").await;
         }
         let patience = self.patience();
--- a/src/gateway/traffic/losses.rs
+++ b/src/gateway/traffic/losses.rs
@@ -14,7 +14,7 @@
 use super::super::dialect::EngineState;
 use super::super::fleet::Upstream;
 use super::super::policy::losses::{Loss, QueriedUpstream};
-use super::super::policy::silence::Sighting;
+use super::super::policy::silence::RunStatus;
 use super::super::view::View;
 use super::super::worker::Worker;
 use super::Traffic;
@@ -53,13 +53,13 @@
     }
 
     /// What it says of a run.
-    pub fn sighting(&self, id: &str) -> Sighting {
-        let Life::Lives(state) = self else { return Sighting::Untold };
-        let Some(runs) = &state.runs else { return Sighting::Untold };
+    pub fn sighting(&self, id: &str) -> RunStatus {
+        let Life::Lives(state) = self else { return RunStatus::Untold };
+        let Some(runs) = &state.runs else { return RunStatus::Untold };
         match runs.iter().find(|run| *run.id == *id) {
-            Some(run) => Sighting::Listed { tokens: run.tokens, events: run.events },
-            None if state.unstarted() > 0 => Sighting::MayWait,
-            None => Sighting::Missing,
+            Some(run) => RunStatus::Listed { tokens: run.tokens, events: run.events },
+            None if state.unstarted() > 0 => RunStatus::MayWait,
+            None => RunStatus::Missing,
         }
     }
 }
--- a/tests/gateway/patience.rs
+++ b/tests/gateway/patience.rs
@@ -12,7 +12,7 @@
 use siskinrock::gateway::policy::placement;
 use siskinrock::gateway::policy::rediscovered::Rediscovered;
 use siskinrock::gateway::policy::silence::{
-    self, Sighting, Silence, SilenceTimeouts, Verdict, Why,
+    self, LeaveReason, RunStatus, Silence, SilenceTimeouts, Verdict,
 };
 use siskinrock::gateway::policy::sought::Sought;
 use siskinrock::platform::document;
@@ -31,52 +31,58 @@
     }
 }
 
-fn listed(tokens: u64, events: u64) -> Sighting {
-    Sighting::Listed { tokens, events }
+fn listed(tokens: u64, events: u64) -> RunStatus {
+    RunStatus::Listed { tokens, events }
 }
 
 /// A run that was sent or last heard at 1,000, its observations (what the state said, and when it
 /// was requested), and the verdict on the last one.
 #[parameterized(
-    state_is_older_than_the_run = { &[(Sighting::Missing, 1_400)], Verdict::Wait },
-    gone = { &[(Sighting::Missing, 1_900)], Verdict::Leave(Why::Gone) },
-    may_wait = { &[(Sighting::MayWait, 1_900), (Sighting::MayWait, 2_800)], Verdict::Wait },
-    overdue = { &[(Sighting::MayWait, 1_900), (Sighting::MayWait, 9_000)], Verdict::Leave(Why::Overdue) },
-    untold = { &[(Sighting::Untold, 1_900)], Verdict::Wait },
+    state_is_older_than_the_run = { &[(RunStatus::Missing, 1_400)], Verdict::Wait },
+    gone = { &[(RunStatus::Missing, 1_900)], Verdict::Leave(LeaveReason::Gone) },
+    may_wait = { &[(RunStatus::MayWait, 1_900), (RunStatus::MayWait, 2_800)], Verdict::Wait },
+    overdue = { &[(RunStatus::MayWait, 1_900), (RunStatus::MayWait, 9_000)], Verdict::Leave(LeaveReason::Overdue) },
+    untold = { &[(RunStatus::Untold, 1_900)], Verdict::Wait },
     reading = { &[(listed(100, 0), 1_900), (listed(900, 0), 2_800)], Verdict::Wait },
-    answer_lost = { &[(listed(900, 3), 1_900), (listed(910, 4), 2_100)], Verdict::Leave(Why::AnswerLost) },
-    standing = { &[(listed(900, 3), 1_900), (listed(900, 3), 3_500)], Verdict::Leave(Why::Standing) },
+    answer_lost = { &[(listed(900, 3), 1_900), (listed(910, 4), 2_100)], Verdict::Leave(LeaveReason::AnswerLost) },
+    standing = { &[(listed(900, 3), 1_900), (listed(900, 3), 3_500)], Verdict::Leave(LeaveReason::Standing) },
     not_standing_yet = { &[(listed(900, 3), 1_900), (listed(900, 3), 2_800)], Verdict::Wait },
     fewer_events = { &[(listed(900, 3), 1_900), (listed(910, 1), 2_800)], Verdict::Wait },
     time_goes_back = { &[(listed(900, 3), 3_500), (listed(900, 3), 200)], Verdict::Wait },
 )]
-fn a_silent_run_is_judged_by_what_its_engine_says(looks: &[(Sighting, u64)], last: Verdict) {
-    let mut silence = Silence::before_first(1_000, Some(8_000));
+fn a_silent_run_is_judged_by_what_its_engine_says(looks: &[(RunStatus, u64)], last: Verdict) {
+    let mut silence = Silence::before_first_event(1_000, Some(8_000));
     let mut verdict = Verdict::Wait;
-    for (sighting, asked_ms) in looks {
-        verdict = silence.see(*sighting, *asked_ms);
+    for (status, asked_ms) in looks {
+        verdict = silence.judge(*status, *asked_ms);
     }
     assert_eq!(verdict, last);
 }
 
 /// A run is listed from its first event on, in a state that may be some hundred milliseconds old.
 #[parameterized(
-    young = { Sighting::MayWait, 300, false },
-    waits_again = { Sighting::MayWait, 500, true },
+    young = { RunStatus::MayWait, 300, false },
+    waits_again = { RunStatus::MayWait, 500, true },
     runs = { listed(900, 3), 900, false },
-    untold = { Sighting::Untold, 900, false },
-    gone = { Sighting::Missing, 900, false },
+    untold = { RunStatus::Untold, 900, false },
+    gone = { RunStatus::Missing, 900, false },
 )]
-fn a_run_that_is_no_longer_named_was_put_out(sighting: Sighting, age_ms: u64, is_out: bool) {
-    assert_eq!(silence::is_put_out(sighting, age_ms), is_out);
+fn a_run_that_is_no_longer_named_was_put_out(status: RunStatus, age_ms: u64, is_out: bool) {
+    assert_eq!(silence::is_preempted(status, age_ms), is_out);
 }
 
 #[test]
 fn what_was_heard_or_has_no_other_attempt_is_never_overdue() {
-    assert_eq!(Silence::new(0).see(Sighting::MayWait, 60_000), Verdict::Wait);
-    assert_eq!(Silence::before_first(0, None).see(Sighting::MayWait, 60_000), Verdict::Wait);
+    assert_eq!(Silence::new(0).judge(RunStatus::MayWait, 60_000), Verdict::Wait);
+    assert_eq!(
+        Silence::before_first_event(0, None).judge(RunStatus::MayWait, 60_000),
+        Verdict::Wait
+    );
     let forever = Some(u64::MAX);
-    assert_eq!(Silence::before_first(5, forever).see(Sighting::MayWait, 60_000), Verdict::Wait);
+    assert_eq!(
+        Silence::before_first_event(5, forever).judge(RunStatus::MayWait, 60_000),
+        Verdict::Wait
+    );
 }
 
 /// Requests on machines that take ten times as long get ten times as much time, and each attempt
