--- a/src/gateway/control/successors.rs
+++ b/src/gateway/control/successors.rs
@@ -13,7 +13,7 @@
 use super::super::channel::Channel;
 use super::super::fleet::Upstream;
 use super::super::membership::{Phase, Rumor};
-use super::super::policy::sought::Sought;
+use super::super::policy::search::SearchList;
 use super::Control;
 
 /// How often lost engines are looked for: one is back about 1.2 s after its crash.
@@ -25,14 +25,14 @@
 
 impl Control {
     pub(super) async fn seek_successors(self: Rc<Control>) {
-        let mut sought = Sought::default();
+        let mut sought = SearchList::default();
         loop {
             tokio::time::sleep(Duration::from_millis(LOOK_MS)).await;
             self.note_sought(&mut sought);
             if !self.is_seeker() {
                 continue;
             }
-            for lost in self.engines(sought.due()) {
+            for lost in self.engines(sought.next_round()) {
                 let control = Rc::clone(&self);
                 tokio::task::spawn_local(async move { control.look_for(lost).await });
             }
@@ -53,7 +53,7 @@
         before.count() < SEEKERS
     }
 
-    fn note_sought(&self, sought: &mut Sought) {
+    fn note_sought(&self, sought: &mut SearchList) {
         let mut lost = self.shared.own_lost();
         lost.extend(self.board.borrow().lost.keys().cloned());
         let view = self.shared.view.load();
--- a/src/gateway/policy/sought.rs
+++ b/src/gateway/policy/search.rs
@@ -8,15 +8,15 @@
 use std::sync::Arc;
 
 /// Maximum number of searches for one engine; one that is not back by then is gone for good.
-const MOST_LOOKS: u32 = 12;
+const MAX_SEARCHES: u32 = 12;
 
 /// Lost engines, with the number of searches for each.
 #[derive(Debug, Default)]
-pub struct Sought {
-    looks: BTreeMap<Arc<str>, u32>,
+pub struct SearchList {
+    searches: BTreeMap<Arc<str>, u32>,
 }
 
-impl Sought {
+impl SearchList {
     /// Adds lost engines, and drops those that the directory no longer lists.
     pub fn note(
         &mut self,
@@ -24,14 +24,14 @@
         is_listed: impl Fn(&str) -> bool,
     ) {
         for id in lost {
-            self.looks.entry(id).or_insert(0);
+            self.searches.entry(id).or_insert(0);
         }
-        self.looks.retain(|id, looks| *looks < MOST_LOOKS && is_listed(id));
+        self.searches.retain(|id, searches| *searches < MAX_SEARCHES && is_listed(id));
     }
 
     /// Returns the engines to search for now, and counts a search for each.
-    pub fn due(&mut self) -> Vec<Arc<str>> {
-        self.looks.values_mut().for_each(|looks| *looks += 1);
-        self.looks.keys().cloned().collect()
+    pub fn next_round(&mut self) -> Vec<Arc<str>> {
+        self.searches.values_mut().for_each(|searches| *searches += 1);
+        self.searches.keys().cloned().collect()
     }
 }
--- a/tests/gateway/patience.rs
+++ b/tests/gateway/patience.rs
@@ -11,10 +11,10 @@
 use siskinrock::gateway::policy::outages::{self, Outages};
 use siskinrock::gateway::policy::placement;
 use siskinrock::gateway::policy::rediscovered::Rediscovered;
+use siskinrock::gateway::policy::search::SearchList;
 use siskinrock::gateway::policy::silence::{
     self, LeaveReason, RunStatus, Silence, SilenceTimeouts, Verdict,
 };
-use siskinrock::gateway::policy::sought::Sought;
 use siskinrock::platform::document;
 use yare::parameterized;
 
@@ -332,20 +332,20 @@
 /// An outage of the directory is noticed after seconds, and losses are reported for a shorter time.
 #[test]
 fn engines_lost_before_the_silence_is_noticed_are_looked_for() {
-    let mut sought = Sought::default();
-    sought.note(["crashed".into(), "lapsed".into()], |_| true);
-    sought.note([], |id| id != "lapsed");
-    assert_eq!(sought.due(), [Arc::from("crashed")], "the other one is listed no more");
+    let mut search_list = SearchList::default();
+    search_list.note(["crashed".into(), "lapsed".into()], |_| true);
+    search_list.note([], |id| id != "lapsed");
+    assert_eq!(search_list.next_round(), [Arc::from("crashed")], "the other one is listed no more");
 }
 
 #[test]
 fn an_engine_that_stays_away_is_not_looked_for_for_ever() {
-    let mut sought = Sought::default();
-    sought.note(["gone".into()], |_| true);
+    let mut search_list = SearchList::default();
+    search_list.note(["gone".into()], |_| true);
     let mut looks = 0;
-    while !sought.due().is_empty() {
+    while !search_list.next_round().is_empty() {
         looks += 1;
-        sought.note([], |_| true);
+        search_list.note([], |_| true);
         assert!(looks < 100, "looked for again and again");
     }
     assert!(looks > 3, "an engine takes over a second to come back");
