--- a/src/gateway/policy/spread.rs
+++ b/src/gateway/policy/spread.rs
@@ -7,17 +7,17 @@
 
 /// Accepted average number of pairs of unseen requests that collide at one candidate: each
 /// collision delays one of the two by the time that the other's prompt takes.
-const MEETING_PAIRS: f64 = 1.0;
+const ACCEPTED_COLLISIONS: f64 = 1.0;
 /// Upper bound on the fraction of the candidates that share a choice: beyond it, load would not
 /// matter.
-const MOST_SHARING_PART: f64 = 0.5;
+const MAX_SHARING_FRACTION: f64 = 0.5;
 /// Minimum spread, in requests: load is never known more precisely than to a fraction of a request.
-const LEAST_SPREAD: f64 = 0.4;
+const MIN_SPREAD: f64 = 0.4;
 /// Maximum spread, in requests: a candidate whose load exceeds the best by far more than an
 /// engine's usual load remains a bad choice, however little is known.
-const MOST_SPREAD: f64 = 4.0;
+const MAX_SPREAD: f64 = 4.0;
 /// Number of bisection steps between the two bounds, which gives the spread to a hundredth.
-const HALVINGS: u32 = 9;
+const BISECTION_STEPS: u32 = 9;
 
 /// Returns the excess cost, in requests, up to which a candidate counts as about as good as the
 /// best, where other instances place `unseen` requests before this one receives their reports.
@@ -27,18 +27,19 @@
 /// counted by its weight: of `unseen` requests at random among `n` candidates, `unseen² / 2n` pairs
 /// collide.
 pub fn spread(costs: &[f64], unseen: f64) -> f64 {
-    let least = costs.iter().copied().fold(f64::INFINITY, f64::min);
-    let most_sharing = costs.len() as f64 * MOST_SHARING_PART;
-    let wanted = (unseen * unseen / (2.0 * MEETING_PAIRS)).min(most_sharing);
-    let sharing = |spread: f64| costs.iter().map(|cost| weight(cost - least, spread)).sum::<f64>();
+    let min_cost = costs.iter().copied().fold(f64::INFINITY, f64::min);
+    let max_sharing = costs.len() as f64 * MAX_SHARING_FRACTION;
+    let min_sharing = (unseen * unseen / (2.0 * ACCEPTED_COLLISIONS)).min(max_sharing);
+    let sharing =
+        |spread: f64| costs.iter().map(|cost| weight(cost - min_cost, spread)).sum::<f64>();
     // The best candidate alone counts as one.
-    if wanted <= 1.0 || sharing(LEAST_SPREAD) >= wanted {
-        return LEAST_SPREAD;
+    if min_sharing <= 1.0 || sharing(MIN_SPREAD) >= min_sharing {
+        return MIN_SPREAD;
     }
-    let (mut low, mut high) = (LEAST_SPREAD, MOST_SPREAD);
-    for _ in 0..HALVINGS {
+    let (mut low, mut high) = (MIN_SPREAD, MAX_SPREAD);
+    for _ in 0..BISECTION_STEPS {
         let middle = f64::midpoint(low, high);
-        if sharing(middle) < wanted {
+        if sharing(middle) < min_sharing {
             low = middle;
         } else {
             high = middle;
