--- a/src/gateway/server.rs
+++ b/src/gateway/server.rs
@@ -232,8 +232,8 @@
     accepting: JoinHandle<()>,
 ) {
     traffic.stop.set(Some(stop));
-    let is_idle = || traffic.open.get() == 0 && traffic.now_ms() >= stop.least_ms();
-    wait_until(traffic, stop.answer_ms(), is_idle).await;
+    let is_idle = || traffic.open.get() == 0 && traffic.now_ms() >= stop.earliest_end_ms();
+    wait_until(traffic, stop.final_answers_ms(), is_idle).await;
     let after_ms = traffic.now_ms() - stop.since_ms;
     slog::info!(traffic.log, "closing to callers"; "open" => traffic.open.get(),
         "connections" => traffic.connections.get(), "after_ms" => after_ms);
@@ -242,9 +242,9 @@
     // The listener takes in those that came before; a panic there leaves it closed as well.
     let _ = accepting.await;
     let is_left = || traffic.connections.get() == 0;
-    wait_until(traffic, stop.answer_ms(), is_left).await;
+    wait_until(traffic, stop.final_answers_ms(), is_left).await;
     traffic.last_answers.send_replace(true);
-    wait_until(traffic, stop.end_ms(), is_left).await;
+    wait_until(traffic, stop.latest_end_ms(), is_left).await;
     slog::info!(traffic.log, "requests ended"; "cut" => traffic.open.get(),
         "connections" => traffic.connections.get(),
         "after_ms" => traffic.now_ms() - stop.since_ms);
--- a/src/gateway/traffic.rs
+++ b/src/gateway/traffic.rs
@@ -148,7 +148,7 @@
     /// Whether a request that was read is taken, also by an instance that stops.
     pub fn takes(&self, job: &Job) -> bool {
         let now_ms = self.now_ms();
-        self.stop.get().is_none_or(|stop| stop.takes(job.route.repeat, job.until_ms, now_ms))
+        self.stop.get().is_none_or(|stop| stop.accepts(job.route.repeat, job.until_ms, now_ms))
     }
 
     /// When the caller of a request should come back after a failure, where that follows from how
--- a/tests/gateway/stops.rs
+++ b/tests/gateway/stops.rs
@@ -207,5 +207,5 @@
 )]
 fn a_stop_takes_what_can_end(repeat: Repeat, until_ms: u64, now_ms: u64, is_taken: bool) {
     let stop = Stop { since_ms: 0, keep_ms: 2_000, grace_ms: 4_000 };
-    assert_eq!(stop.takes(repeat, until_ms, now_ms), is_taken);
+    assert_eq!(stop.accepts(repeat, until_ms, now_ms), is_taken);
 }
