--- a/src/gateway/policy/silence.rs
+++ b/src/gateway/policy/silence.rs
@@ -132,17 +132,17 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, derive_more::Display)]
 pub enum LeaveReason {
     /// The engine no longer has the run.
-    #[display("the engine lives and has no such run")]
+    #[display("the engine is alive but no longer has the run")]
     Gone,
     /// The run produces events that do not arrive.
-    #[display("the run makes events and none arrives")]
+    #[display("the run produces events but none arrive")]
     AnswerLost,
     /// The first event has taken much longer than nearly all others of the service, as recently
     /// measured by this instance.
     #[display("its first event is overdue")]
     Overdue,
     /// The run is listed but makes no progress.
-    #[display("the run is there and makes no progress")]
+    #[display("the run makes no progress")]
     Standing,
 }
 
--- a/tests/gateway/silence.rs
+++ b/tests/gateway/silence.rs
@@ -26,7 +26,7 @@
     assert!(stream.is_complete);
     assert_eq!(stream.text, whole_text(&sent, 0));
     assert!(since.elapsed().as_secs() < 4, "{:?}", since.elapsed());
-    assert!(running.gateways[0].logged().contains("the engine lives and has no such run"));
+    assert!(running.gateways[0].logged().contains("the engine is alive but no longer has the run"));
 }
 
 #[tokio::test]
@@ -71,7 +71,7 @@
     let reading = running.read_stream(&sent);
     let first = working_engine(&running).await;
     let engine = &running.site.engines[first];
-    wait_for("it has made events for a while", async || engine.made() >= 11).await;
+    wait_for("the engine has produced 11 events", async || engine.made() >= 11).await;
     engine.fail(Fault::PutsOut);
     let stream = reading.await.unwrap().unwrap();
     assert!(stream.is_complete);
@@ -79,7 +79,7 @@
     let logged = running.gateways[0].logged();
     assert!(logged.contains("engine put the run out of memory"));
     let pause = logged.split("\"pause_ms\":").nth(1).and_then(|rest| rest.split([',', '}']).next());
-    let pause_ms: u64 = pause.and_then(|pause| pause.parse().ok()).expect("the run went on");
+    let pause_ms: u64 = pause.and_then(|pause| pause.parse().ok()).expect("the run resumed");
     assert!(pause_ms < 600, "{pause_ms}");
 }
 
@@ -96,7 +96,7 @@
     let stream = running.read_stream(&sent).await.unwrap().unwrap();
     assert!(stream.is_complete);
     assert_eq!(stream.text, whole_text(&sent, 0));
-    assert_eq!(running.site.engines[0].seen().len(), 1, "it was never sent anew");
+    assert_eq!(running.site.engines[0].seen().len(), 1, "sent only once");
     assert!(running.gateways[0].logged().contains("engine asked once more whether it lives"));
 }
 
@@ -114,7 +114,7 @@
     let others = || engines.iter().enumerate().filter(|(index, _)| *index != first);
     others().for_each(|(_, engine)| engine.fail(Fault::Full));
     engines[first].fail(Fault::Torn);
-    wait_for("several have refused", async || {
+    wait_for("the other engines have refused five attempts", async || {
         others().map(|(_, engine)| engine.seen().len()).sum::<usize>() >= 5
     })
     .await;
@@ -138,7 +138,10 @@
     let after_s: f64 = answer.header("retry-after").unwrap().parse().unwrap();
     assert!((3.0..=6.7).contains(&after_s), "{after_s} s of 20 s");
     let engines = &running.site.engines;
-    assert!(engines.iter().all(|engine| engine.seen().len() <= 1), "each is asked once");
+    assert!(
+        engines.iter().all(|engine| engine.seen().len() <= 1),
+        "each engine is tried at most once"
+    );
 }
 
 /// Guards against a stream that waits until its timeout at an engine that is alive and reports the
@@ -173,7 +176,7 @@
     let sent: Vec<_> = (0..STREAMS).map(|_| plan()).collect();
     let reading: Vec<_> = sent.iter().map(|sent| running.read_stream(sent)).collect();
     let engines = &running.site.engines;
-    wait_for("all are worked on", async || {
+    wait_for("all streams are running", async || {
         let working: usize = engines.iter().map(|engine| engine.working()).sum();
         let has_begun = |engine: &EngineFake| engine.working() == 0 || engine.made() >= 3;
         working == STREAMS && engines.iter().all(has_begun)
@@ -188,7 +191,7 @@
     engines.iter().for_each(|engine| engine.fail(Fault::None));
     for (sent, reading) in sent.iter().zip(reading) {
         let stream = reading.await.unwrap().unwrap();
-        assert!(stream.is_complete, "{} was cut", sent.id);
+        assert!(stream.is_complete, "{} was truncated", sent.id);
         assert_eq!(stream.text, whole_text(sent, 0));
     }
 }
@@ -205,7 +208,7 @@
         let answer = caller::send(running.front(0), &sent).await.unwrap();
         assert_eq!(answer.status(), 200);
         assert!(since.elapsed().as_millis() < 700, "{:?}", since.elapsed());
-        assert!(running.runs_of(&sent.id) <= 2, "the route allows two attempts");
+        assert!(running.runs_of(&sent.id) <= 2, "more than the two attempts that the route allows");
     }
 }
 
@@ -222,7 +225,7 @@
         let sent = call("GET", "/look/seat");
         let answer = caller::send(running.front(0), &sent).await.unwrap();
         let has_run = running.runs_of(&sent.id) > 0;
-        assert!(!has_run || answer.status() != 503, "told that it has not run");
+        assert!(!has_run || answer.status() != 503, "503 although an attempt has run");
     }
     assert!(running.gateways[0].logged().contains("sent to a second upstream"));
 }
@@ -321,7 +324,7 @@
     entry["state"] = "asleep".into();
     store.put(&format!("servers/{}", service.id), &entry);
     store.put("servers/nobody", &serde_json::json!({"address": 7, "backend": ["x"]}));
-    wait_for("both are refused", async || {
+    wait_for("both entries are rejected", async || {
         let logged = running.gateways[0].logged();
         logged.matches("entry names no upstream to use").count() >= 2
     })
@@ -342,8 +345,10 @@
     let mut running = support::start_site(Site::start(2, 15).await, 0).await;
     running.site.store.fail(siskinrock_fakes::store::Fault::Busy);
     running.add(0);
-    wait_for("it listens", async || tokio::net::TcpStream::connect(running.front(0)).await.is_ok())
-        .await;
+    wait_for("the instance listens", async || {
+        tokio::net::TcpStream::connect(running.front(0)).await.is_ok()
+    })
+    .await;
     let sent = plan();
     let reading = running.read_stream(&sent);
     tokio::time::sleep(std::time::Duration::from_millis(200)).await;
@@ -360,9 +365,11 @@
     let mut running = support::start_site(Site::start(1, 15).await, 0).await;
     running.site.store.fail(siskinrock_fakes::store::Fault::Busy);
     running.add(0);
-    wait_for("it listens", async || tokio::net::TcpStream::connect(running.front(0)).await.is_ok())
-        .await;
-    wait_for("it misses the store", async || {
+    wait_for("the instance listens", async || {
+        tokio::net::TcpStream::connect(running.front(0)).await.is_ok()
+    })
+    .await;
+    wait_for("the instance has lost the store", async || {
         running.gateways[0].logged().contains("directory lost")
     })
     .await;
