--- a/tests/gateway/decisions.rs
+++ b/tests/gateway/decisions.rs
@@ -79,9 +79,9 @@
     fleet.replace(5, vec![upstream("a", false), upstream("gone", true)], &[], 0);
     fleet.regained(1_000);
     fleet.replace(6, vec![], &[], 1_000);
-    assert_eq!(ids(&fleet), ["a"], "what was leaving gets no time");
+    assert_eq!(ids(&fleet), ["a"], "a leaving upstream is not kept");
     fleet.replace(7, vec![], &[], 2_000);
-    assert_eq!(ids(&fleet), ["a"], "a second reading doesn't end the time");
+    assert_eq!(ids(&fleet), ["a"], "a second list doesn't shorten the time");
     fleet.expire(2_900);
     assert!(fleet.upstreams.is_empty());
 }
@@ -141,7 +141,7 @@
     let with_others = most_at_one(9.0);
     assert!(with_others.iter().sum::<u32>() < 40 * 4, "{with_others:?}");
     let alone = most_at_one(0.0);
-    assert!(alone.iter().all(|most| *most >= 3), "nothing unseen: loads decide; {alone:?}");
+    assert!(alone.iter().all(|most| *most >= 3), "without unseen requests loads decide: {alone:?}");
 }
 
 #[parameterized(
@@ -189,7 +189,7 @@
     assert!(!budget.try_repeat(bound, 10_800), "9.9 s later");
     assert!(budget.try_repeat(bound, 12_000));
     budget.count_request(bound, 30_900);
-    assert_eq!(budget.counts(), (1, 0), "what is out of the window");
+    assert_eq!(budget.counts(), (1, 0), "repeats outside the window don't count");
 }
 
 #[test]
@@ -204,9 +204,9 @@
     };
     let mut budget = Budget::default();
     let allowed = (0..1_000).filter(|_| budget.try_repeat(bound, 0)).count();
-    assert!(allowed * 3 <= 150, "a third of nine at once stay under the bound: {allowed}");
+    assert!(allowed * 3 <= 150, "three of nine instances at once exceed the budget: {allowed}");
     bound.others_repeats = 130;
-    assert!(!Budget::default().try_repeat(bound, 0), "the others have taken all");
+    assert!(!Budget::default().try_repeat(bound, 0), "the others have used the budget");
     bound.others_requests = 1_000;
     assert!(Budget::default().try_repeat(bound, 0));
     let many = allowed;
@@ -251,15 +251,18 @@
     assert!(!losses.has_correlated_losses(queried("x", 0), 1_020), "two may fail by chance");
     losses.note_reported(&"c".into(), loss(1_020, false));
     assert!(losses.has_correlated_losses(queried("x", 0), 1_020));
-    assert!(!losses.has_correlated_losses(queried("x", 1_015), 1_020), "it answered meanwhile");
+    assert!(
+        !losses.has_correlated_losses(queried("x", 1_015), 1_020),
+        "it has shown a sign of life since"
+    );
     assert!(
         !losses.has_correlated_losses(QueriedUpstream { domain: "far", ..queried("x", 0) }, 1_020)
     );
     assert!(
         !losses.has_correlated_losses(queried("x", 0), 2_000),
-        "whoever is not found lost by now lives: half a domain may fall, and the rest is needed"
+        "one not detected as lost by now is alive: half a domain may fail, and the rest is needed"
     );
-    assert!(losses.is_lost(queried("a", 0)), "what was lost stays lost until it answers");
+    assert!(losses.is_lost(queried("a", 0)), "a lost upstream stays lost until it answers");
     assert!(!losses.is_lost(queried("a", 1_500)));
     assert!(!losses.is_lost(queried("x", 0)));
 }
@@ -273,7 +276,10 @@
     assert_eq!(losses.own(), [Arc::from("a")]);
     losses.expire(6_000, |id| id == "b");
     assert!(!losses.is_lost(queried("a", 0)));
-    assert!(losses.is_lost(queried("b", 0)), "another one has its address for good");
+    assert!(
+        losses.is_lost(queried("b", 0)),
+        "kept, since another incarnation has its address for good"
+    );
 }
 
 fn at(id: &str, port: u16) -> Upstream {
@@ -286,18 +292,18 @@
     fleet.replace(5, vec![at("old", 80), at("other", 81)], &[], 0);
     let mut rediscovered = Rediscovered::default();
     assert!(rediscovered.add(at("new", 80)));
-    assert!(!rediscovered.add(at("new", 80)), "found again, it is no news");
+    assert!(!rediscovered.add(at("new", 80)), "it is already known");
     let names = |rediscovered: &Rediscovered, fleet: &Fleet| -> Vec<String> {
         rediscovered.merge(&fleet.upstreams).keys().map(ToString::to_string).collect()
     };
     assert_eq!(names(&rediscovered, &fleet), ["new", "other"]);
-    assert!(rediscovered.add(at("newer", 80)), "it crashed once more");
+    assert!(rediscovered.add(at("newer", 80)), "it crashed again");
     assert_eq!(names(&rediscovered, &fleet), ["newer", "other"]);
     let leaving = Upstream { is_leaving: true, ..at("newer", 80) };
     fleet.apply(6, vec![Change::Put(leaving)], 100);
     assert!(
         rediscovered.merge(&fleet.upstreams)["newer"].is_leaving,
-        "the directory's word goes first"
+        "the directory's entry takes precedence"
     );
     rediscovered.remove("newer");
     assert_eq!(names(&rediscovered, &fleet), ["newer", "old", "other"]);
@@ -309,7 +315,7 @@
     rediscovered.add(at("new", 80));
     assert!(!rediscovered.update_directory_state(false, 0));
     assert!(!rediscovered.update_directory_state(true, 1_000));
-    assert!(!rediscovered.update_directory_state(false, 1_500), "silent again");
+    assert!(!rediscovered.update_directory_state(false, 1_500), "unreachable again");
     assert!(!rediscovered.update_directory_state(true, 3_000));
     assert!(!rediscovered.update_directory_state(true, 4_800));
     assert_eq!(rediscovered.len(), 1);
@@ -400,14 +406,18 @@
         now_ms += 20_000;
     }
     let mut random = fastrand::Rng::with_seed(3);
-    assert_eq!(outages.retry_after_ms(&service, left_ms, now_ms, &mut random), None, "it is up");
+    assert_eq!(
+        outages.retry_after_ms(&service, left_ms, now_ms, &mut random),
+        None,
+        "the service is up"
+    );
     outages.note_lost(&service, now_ms);
     outages.note_down(&service, now_ms + 10);
     let mut after_ms = || outages.retry_after_ms(&service, left_ms, now_ms + lasts_ms, &mut random);
     let named: Vec<u64> = (0..200).map(|_| after_ms().unwrap()).collect();
     assert!(named.iter().all(|after| (least_ms..=most_ms).contains(after)), "{named:?}");
     let spread = named.iter().max().unwrap() - named.iter().min().unwrap();
-    assert!(2 * spread >= most_ms - least_ms, "they would all come back at once: {spread} ms");
+    assert!(2 * spread >= most_ms - least_ms, "retry times are not spread: {spread} ms");
 }
 
 /// Upstreams that leave long after the last loss did not go with it, and a sign of life from before
--- a/tests/gateway/engine.rs
+++ b/tests/gateway/engine.rs
@@ -34,7 +34,7 @@
     let keeps = |pending_tokens| Load { kept_tokens: 13_000, ..load(0.0, pending_tokens, 0) };
     assert!(keeps(0).cost(need) < idle.cost(need));
     assert!(keeps(5_000).cost(need) < idle.cost(need));
-    assert!(keeps(40_000).cost(need) > idle.cost(need), "reading it anew elsewhere is quicker");
+    assert!(keeps(40_000).cost(need) > idle.cost(need), "reading it again elsewhere is faster");
     assert!(Load { kept_tokens: u64::MAX, ..idle }.cost(need).is_finite());
 }
 
@@ -68,7 +68,7 @@
 fn mixed_prompts_that_fit_are_placed_where_they_fit() {
     assert_eq!(placed_without_room(true), 0);
     let by_requests = placed_without_room(false);
-    assert!(by_requests > 10, "the load is hard enough to tell: {by_requests}");
+    assert!(by_requests > 10, "the load is too light to show a difference: {by_requests}");
 }
 
 /// Returns how many requests of a load were placed on engines whose memory had no room for them.
@@ -96,8 +96,8 @@
         };
         let candidates: Vec<Candidate> = engines.iter().enumerate().map(candidate).collect();
         let constraints = Constraints { need, ..Constraints::default() };
-        let chosen =
-            choose(&candidates, &constraints, 0.0, &mut random).expect("engines take work");
+        let chosen = choose(&candidates, &constraints, 0.0, &mut random)
+            .expect("all engines are candidates");
         without_room += usize::from(!engines[chosen].has_room(need));
         engines[chosen].runs += 1.0;
         engines[chosen].reserved_tokens += need.memory_tokens();
--- a/tests/gateway/patience.rs
+++ b/tests/gateway/patience.rs
@@ -99,23 +99,24 @@
     assert!((2_200..=2_800).contains(&quick_ms), "{quick_ms}");
     assert!(slow_ms >= 9 * quick_ms, "{slow_ms}");
     assert_eq!(silence::overdue_ms(&known(150), 8_000, 4_500, 1), 2 * quick_ms);
-    assert_eq!(silence::overdue_ms(&Latencies::default(), 8_000, 4_500, 0), 9_000, "careful");
-    assert_eq!(silence::overdue_ms(&known(150), 0, 0, 0), 9_000, "no prompt, no objective");
+    assert_eq!(
+        silence::overdue_ms(&Latencies::default(), 8_000, 4_500, 0),
+        9_000,
+        "no samples: twice the objective"
+    );
+    assert_eq!(silence::overdue_ms(&known(150), 0, 0, 0), 9_000, "no prompt and no objective");
     assert!(silence::overdue_ms(&known(u64::MAX), u64::MAX, 1, u32::MAX) > 0);
 }
 
 #[test]
 fn patience_is_a_part_of_what_the_route_declares() {
     let usual = SilenceTimeouts::of(4_500, 700);
-    assert_eq!(SilenceTimeouts::of(0, 0), usual, "no declaration");
+    assert_eq!(SilenceTimeouts::of(0, 0), usual, "defaults for undeclared values");
     assert_eq!((usual.first_event_ms, usual.gap_ms, usual.stalled_reading_ms), (900, 140, 700));
     let slow = SilenceTimeouts::of(45_000, 7_000);
     assert_eq!((slow.first_event_ms, slow.gap_ms, slow.stalled_ms), (9_000, 1_400, 4_666));
     let tiny = SilenceTimeouts::of(1, 1);
-    assert!(
-        tiny.first_event_ms >= 500 && tiny.gap_ms >= 50,
-        "no question each millisecond: {tiny:?}"
-    );
+    assert!(tiny.first_event_ms >= 500 && tiny.gap_ms >= 50, "state requested too often: {tiny:?}");
 }
 
 #[test]
@@ -123,11 +124,11 @@
     let mut known = Latencies::default();
     assert_eq!(known.quantile(0.95), None);
     (0..19).for_each(|_| known.record(30));
-    assert_eq!(known.quantile(0.95), None, "too few");
+    assert_eq!(known.quantile(0.95), None, "too few samples");
     known.record(0);
     assert_eq!(known.quantile(0.5).map(|ms| (28..=32).contains(&ms)), Some(true));
     (0..400).for_each(|_| known.record(300));
-    assert!(known.quantile(0.05).unwrap() >= 280, "the quick ones are forgotten");
+    assert!(known.quantile(0.05).unwrap() >= 280, "old samples are dropped");
     known.record(u64::MAX);
     assert!(known.quantile(1.0).is_some());
 }
@@ -146,7 +147,11 @@
     };
     let mut random = fastrand::Rng::with_seed(11);
     let mut known = Latencies::default();
-    assert_eq!(hedge::delay_ms(&known, 150), Some(150), "careful before enough is known");
+    assert_eq!(
+        hedge::delay_ms(&known, 150),
+        Some(150),
+        "too few samples: only after the objective"
+    );
     assert_eq!(hedge::delay_ms(&known, 0), None);
     let mut budget = Budget::default();
     let mut second = [0; 2];
@@ -163,11 +168,11 @@
         }
         if phase == 0 {
             let after_ms = hedge::delay_ms(&known, 150).unwrap();
-            assert!((90..150).contains(&after_ms), "in time for the objective: {after_ms}");
+            assert!((90..150).contains(&after_ms), "not in time for the objective: {after_ms}");
         }
     }
     assert!(second[0] < 20, "{second:?}");
-    assert!(second[1] < 300, "of 2,000, while the slowdown is learnt: {second:?}");
+    assert!(second[1] < 300, "of 2,000, until the quantiles follow the slowdown: {second:?}");
 }
 
 #[test]
@@ -177,7 +182,7 @@
         placement::superseded(all.iter()).iter().map(ToString::to_string).collect();
     assert_eq!(passed, ["old", "older"]);
     let unknown = [at("a", 80, 0), at("b", 80, 0)];
-    assert!(placement::superseded(unknown.iter()).is_empty(), "no evidence, no verdict");
+    assert!(placement::superseded(unknown.iter()).is_empty(), "equal revisions");
     assert!(placement::superseded([].iter()).is_empty());
 }
 
@@ -204,7 +209,7 @@
     let born = |born_ms| Upstream { born_ms, ..at("a", 80, 1) };
     assert!(born(Some(7)).is_same_life(&born(Some(7))));
     assert!(!born(Some(7)).is_same_life(&born(Some(8))));
-    assert!(born(None).is_same_life(&born(Some(8))), "not told");
+    assert!(born(None).is_same_life(&born(Some(8))), "start time unknown");
     assert!(!born(Some(7)).is_same_life(&at("a", 81, 1)));
 }
 
@@ -215,7 +220,7 @@
     fleet.regained(1_000);
     fleet.apply(6, vec![Change::Foreign("a".into()), Change::Foreign("x".into())], 1_100);
     let left: Vec<&str> = fleet.upstreams.keys().map(|id| &**id).collect();
-    assert_eq!(left, ["b"], "no time to come back, as for one that lapsed");
+    assert_eq!(left, ["b"], "an unusable entry is not kept for a while, unlike a lapsed one");
     fleet.replace(7, vec![], &["b".into()], 1_200);
     assert!(fleet.upstreams.is_empty());
 }
@@ -254,7 +259,7 @@
         let after_ms = outages::starting_retry_after_ms(left_ms, &mut random);
         assert!((least_ms..=most_ms).contains(&after_ms), "{after_ms}");
     }
-    assert!(outages::startup_hold_ms(left_ms) * 8 <= left_ms, "a refusal comes early");
+    assert!(outages::startup_hold_ms(left_ms) * 8 <= left_ms, "held for too long");
 }
 
 /// After an outage of the directory, entries are back within two seconds. A service of which an
@@ -314,8 +319,11 @@
         })
         .collect();
     let all: u32 = asked.iter().sum();
-    assert!(mean.contains(&(all / ENGINES)), "{all} questions to {ENGINES} engines");
-    assert!(asked.iter().filter(|asked| **asked == 0).count() <= 6, "engines asked by nobody");
+    assert!(mean.contains(&(all / ENGINES)), "{all} requests to {ENGINES} engines");
+    assert!(
+        asked.iter().filter(|asked| **asked == 0).count() <= 6,
+        "too many engines asked by nobody"
+    );
 }
 
 /// Callers retry only once or a few times: before any running request has ended, they would find
@@ -335,7 +343,11 @@
     let mut search_list = SearchList::default();
     search_list.note(["crashed".into(), "lapsed".into()], |_| true);
     search_list.note([], |id| id != "lapsed");
-    assert_eq!(search_list.next_round(), [Arc::from("crashed")], "the other one is listed no more");
+    assert_eq!(
+        search_list.next_round(),
+        [Arc::from("crashed")],
+        "the other engine is no longer listed"
+    );
 }
 
 #[test]
@@ -346,7 +358,7 @@
     while !search_list.next_round().is_empty() {
         looks += 1;
         search_list.note([], |_| true);
-        assert!(looks < 100, "looked for again and again");
+        assert!(looks < 100, "the search does not end");
     }
-    assert!(looks > 3, "an engine takes over a second to come back");
+    assert!(looks > 3, "too few searches: an engine takes over a second to return");
 }
--- a/tests/gateway/suspicion.rs
+++ b/tests/gateway/suspicion.rs
@@ -170,7 +170,7 @@
     }
     known.note_crash(crash(waiting, 5, Stage::Waiting, 9_000));
     known.settle(&engines(), 9_000 + JUDGEMENT_DELAY_MS);
-    assert!(is_quarantined(&known, waiting), "one that ends engines while they read its prompt");
+    assert!(is_quarantined(&known, waiting), "crashes while the prompt is read count as well");
 }
 
 #[parameterized(
