--- a/tests/gateway/silence.rs
+++ b/tests/gateway/silence.rs
@@ -14,7 +14,7 @@
 /// Guards against a stream that hangs because its engine has lost the run: the engine still reports
 /// that it is alive, so the stream was sent once and its caller left after 18 s without an event.
 #[tokio::test]
-async fn a_stream_whose_head_never_comes_is_read_elsewhere() {
+async fn a_stream_without_response_head_is_retried_at_another_engine() {
     let running = support::start(1).await;
     running.site.engines.iter().for_each(|engine| engine.read_for(200));
     let sent = plan();
@@ -30,7 +30,7 @@
 }
 
 #[tokio::test]
-async fn a_stream_that_falls_silent_goes_on_from_its_copy() {
+async fn a_silent_stream_resumes_from_its_copy() {
     let running = support::start(1).await;
     let sent = plan();
     let reading = running.read_stream(&sent);
@@ -44,7 +44,7 @@
 
 /// The engine that the run is resumed at loses it as well, before it has produced an event.
 #[tokio::test]
-async fn a_stream_that_is_resumed_and_hears_nothing_goes_on() {
+async fn a_stream_that_is_silent_after_resuming_resumes_again() {
     let running = support::start_site(Site::start(2, 40).await, 1).await;
     let sent = plan();
     let reading = running.read_stream(&sent);
@@ -65,7 +65,7 @@
 /// A preempted run waits behind other prompts and reads its own again, which takes seconds, while
 /// its caller allows a pause of 700 ms. The run must resume from its copy, which is complete.
 #[tokio::test]
-async fn a_stream_that_is_put_out_of_memory_goes_on_in_time() {
+async fn a_preempted_stream_resumes_in_time() {
     let running = support::start_site(Site::start(2, 60).await, 1).await;
     let sent = plan();
     let reading = running.read_stream(&sent);
@@ -87,7 +87,7 @@
 /// arrive. While most engines were leaving, such runs went to engines that were as full, and their
 /// answers were truncated.
 #[tokio::test]
-async fn a_run_without_a_copy_stays_with_an_engine_that_is_late_with_its_state() {
+async fn a_run_without_a_copy_stays_when_the_engine_state_is_late() {
     let site = Site::start(1, 450).await;
     (1..site.engines.len()).for_each(|index| site.list_engine(index, "draining"));
     site.engines[0].fail(Fault::Late);
@@ -104,7 +104,7 @@
 /// for a moment. Without a delay between attempts, four engines refused within 80 ms, and the
 /// answer was truncated although its caller had twenty seconds left.
 #[tokio::test]
-async fn an_answer_that_began_waits_for_room_elsewhere() {
+async fn a_started_answer_waits_for_capacity_elsewhere() {
     let running = support::start_site(Site::start(3, 60).await, 1).await;
     let sent = plan();
     let reading = running.read_stream(&sent);
@@ -128,7 +128,7 @@
 /// running requests have ended. Callers retry only once, and asking the same engines again and
 /// again leads to the same refusals.
 #[tokio::test]
-async fn what_every_engine_refuses_is_refused_at_once() {
+async fn a_request_that_every_engine_refused_is_refused_at_once() {
     let running = support::start(1).await;
     running.site.engines.iter().for_each(|engine| engine.fail(Fault::Full));
     let since = Instant::now();
@@ -147,7 +147,7 @@
 /// Guards against a stream that waits until its timeout at an engine that is alive and reports the
 /// run but never sends an event: it must be served elsewhere, even if late.
 #[tokio::test]
-async fn a_stream_whose_first_event_is_overdue_is_read_elsewhere() {
+async fn a_stream_with_overdue_first_event_is_retried_at_another_engine() {
     let running = support::start(1).await;
     running.site.engines.iter().for_each(|engine| engine.read_for(200));
     let sent = plan();
@@ -164,7 +164,7 @@
 /// the budget of repeats allows. A run without a repeat must stay: when runs left before they asked
 /// for the repeat, answers were truncated although their engines were alive.
 #[tokio::test]
-async fn a_living_engine_is_left_only_with_a_repeat_in_hand() {
+async fn a_run_leaves_a_live_engine_only_if_the_budget_allows_a_repeat() {
     const STREAMS: usize = 30;
     // 0.75 of 0.8 for each stream.
     const MOVES: usize = 18;
@@ -178,8 +178,8 @@
     let engines = &running.site.engines;
     wait_for("all streams are running", async || {
         let working: usize = engines.iter().map(|engine| engine.working()).sum();
-        let has_begun = |engine: &EngineFake| engine.working() == 0 || engine.made() >= 3;
-        working == STREAMS && engines.iter().all(has_begun)
+        let has_produced_events = |engine: &EngineFake| engine.working() == 0 || engine.made() >= 3;
+        working == STREAMS && engines.iter().all(has_produced_events)
     })
     .await;
     engines.iter().for_each(|engine| engine.fail(Fault::Stuck));
@@ -199,7 +199,7 @@
 /// Guards against a call that waits for a silent upstream until the route's timeout of 1,200 ms and
 /// fails with 504, while two other upstreams have not been tried.
 #[tokio::test]
-async fn a_silent_look_up_is_sent_to_a_second_upstream_in_time() {
+async fn a_silent_look_up_is_hedged_in_time() {
     let running = support::start(1).await;
     running.site.services[0].fail(service::Fault::Mute);
     for _ in 0..12 {
@@ -215,7 +215,7 @@
 /// One of two attempts was refused late and the other one lost its connection: the answer may say
 /// "not run" only if it holds for both.
 #[tokio::test]
-async fn a_look_up_of_which_one_attempt_may_have_run_is_not_told_that_it_has_not() {
+async fn a_look_up_is_not_reported_as_not_run_if_one_attempt_may_have_run() {
     let running = support::start(1).await;
     let (late, others) = running.site.services.split_first().unwrap();
     late.fail(service::Fault::LateFull);
@@ -248,7 +248,7 @@
 /// list named engines that had been replaced, and five answers 421 used up the route's five
 /// attempts.
 #[tokio::test]
-async fn answers_of_replaced_engines_use_up_no_attempt() {
+async fn answers_of_replaced_engines_do_not_count_as_attempts() {
     let running = support::start(1).await;
     let engines = &running.site.engines;
     let (last, others) = engines.split_last().unwrap();
@@ -265,7 +265,7 @@
 
 /// The old entry of an engine stays for some heartbeats beside that of its next incarnation.
 #[tokio::test]
-async fn nothing_is_sent_to_an_entry_that_a_younger_one_followed() {
+async fn nothing_is_sent_to_a_superseded_entry() {
     let running = support::start(1).await;
     let engine = &running.site.engines[0];
     let next = format!("{}-again", engine.id);
@@ -288,35 +288,35 @@
 /// A process that restarts under its id has none of its previous runs, so a run that waits for it
 /// must leave.
 #[tokio::test]
-async fn a_run_leaves_an_engine_that_was_born_again_under_its_id() {
+async fn a_run_leaves_an_engine_that_restarted_under_its_id() {
     let site = Site::start(2, 15).await;
     for index in 0..site.engines.len() {
-        list_born(&site, index, 1_000);
+        list_with_start_time(&site, index, 1_000);
     }
     let running = support::start_site(site, 1).await;
     running.site.engines.iter().for_each(|engine| engine.read_for(1_500));
     let sent = plan();
     let reading = running.read_stream(&sent);
     let first = working_engine(&running).await;
-    list_born(&running.site, first, 2_000);
+    list_with_start_time(&running.site, first, 2_000);
     let stream = reading.await.unwrap().unwrap();
     assert!(stream.is_complete);
     assert_eq!(stream.text, whole_text(&sent, 0));
     assert!(running.gateways[0].logged().contains("upstream born again"));
 }
 
-fn list_born(site: &Site, index: usize, born: u64) {
+fn list_with_start_time(site: &Site, index: usize, started_ms: u64) {
     let engine = &site.engines[index];
     let zone = site.engine_zone(index);
     let mut entry = server_entry("plan-llm", zone, "ready", engine.addr);
-    entry["born"] = born.into();
+    entry["born"] = started_ms.into();
     site.store.put(&format!("servers/{}", engine.id), &entry);
 }
 
 /// An entry written by something else under an upstream's key names no usable upstream; other
 /// entries stay valid.
 #[tokio::test]
-async fn a_foreign_entry_takes_only_its_own_upstream_out() {
+async fn an_unusable_entry_removes_only_its_own_upstream() {
     let running = support::start(1).await;
     let store = &running.site.store;
     let service = &running.site.services[0];
@@ -341,7 +341,7 @@
 /// broke when all instances ended returned with their last retry, up to a second before there was a
 /// configuration.
 #[tokio::test]
-async fn a_starting_instance_keeps_a_request_until_it_has_a_configuration() {
+async fn a_starting_instance_holds_a_request_until_it_has_a_configuration() {
     let mut running = support::start_site(Site::start(2, 15).await, 0).await;
     running.site.store.fail(siskinrock_fakes::store::Fault::Busy);
     running.add(0);
@@ -361,7 +361,7 @@
 /// If no configuration arrives in time, the request is refused, with a retry time that the caller
 /// accepts.
 #[tokio::test]
-async fn a_starting_instance_refuses_what_it_kept_in_vain() {
+async fn a_starting_instance_refuses_a_held_request_without_a_configuration() {
     let mut running = support::start_site(Site::start(1, 15).await, 0).await;
     running.site.store.fail(siskinrock_fakes::store::Fault::Busy);
     running.add(0);
