--- a/tests/gateway/suspicion.rs
+++ b/tests/gateway/suspicion.rs
@@ -42,7 +42,12 @@
 }
 
 /// Records one crash and judges it; returns whether the request is quarantined then.
-fn crashes(known: &mut Quarantine, fingerprint: Fingerprint, number: usize, at_ms: u64) -> bool {
+fn quarantined_after_crash(
+    known: &mut Quarantine,
+    fingerprint: Fingerprint,
+    number: usize,
+    at_ms: u64,
+) -> bool {
     known.note_crash(crash(fingerprint, number, Stage::Begun, at_ms));
     known.settle(&engines(), at_ms + JUDGEMENT_DELAY_MS);
     is_quarantined(known, fingerprint)
@@ -53,9 +58,9 @@
 }
 
 /// Sends everything that one instance would report to another.
-fn tell(from: &mut Quarantine, to: &mut Quarantine, now_ms: u64) {
-    for told in from.next_part(now_ms) {
-        to.hear(told, now_ms);
+fn send_reports(from: &mut Quarantine, to: &mut Quarantine, now_ms: u64) {
+    for report in from.next_part(now_ms) {
+        to.hear(report, now_ms);
     }
 }
 
@@ -63,20 +68,20 @@
 fn the_third_crash_quarantines() {
     let mut known = Quarantine::default();
     let poison = request("poison");
-    assert!(!crashes(&mut known, poison, 0, 1_000));
-    assert!(!crashes(&mut known, poison, 1, 2_000));
-    assert!(crashes(&mut known, poison, 2, 3_000));
+    assert!(!quarantined_after_crash(&mut known, poison, 0, 1_000));
+    assert!(!quarantined_after_crash(&mut known, poison, 1, 2_000));
+    assert!(quarantined_after_crash(&mut known, poison, 2, 3_000));
     assert!(!is_quarantined(&known, request("other")));
 }
 
 /// An engine that ends takes all attempts there with it: a hedge or a copy there is no further
 /// evidence.
 #[test]
-fn one_engine_counts_once() {
+fn several_crashes_at_one_engine_count_once() {
     let mut known = Quarantine::default();
     let poison = request("poison");
     for at_ms in [1_000, 1_010, 2_000, 3_000] {
-        assert!(!crashes(&mut known, poison, 0, at_ms));
+        assert!(!quarantined_after_crash(&mut known, poison, 0, at_ms));
     }
 }
 
@@ -86,14 +91,14 @@
     let mut instances: Vec<Quarantine> = (0..3).map(|_| Quarantine::default()).collect();
     let poison = request("poison");
     for (number, instance) in instances.iter_mut().enumerate() {
-        assert!(!crashes(instance, poison, number, 1_000 * (number as u64 + 1)));
+        assert!(!quarantined_after_crash(instance, poison, number, 1_000 * (number as u64 + 1)));
     }
     let [first, second, third] = &mut instances[..] else { unreachable!() };
-    tell(first, second, 5_000);
+    send_reports(first, second, 5_000);
     assert!(!is_quarantined(second, poison));
-    tell(second, third, 5_010);
+    send_reports(second, third, 5_010);
     assert!(is_quarantined(third, poison));
-    tell(third, first, 5_020);
+    send_reports(third, first, 5_020);
     assert!(is_quarantined(first, poison));
 }
 
@@ -103,7 +108,7 @@
     a_domain = { (0..ENGINES).step_by(DOMAINS.len()).collect() },
     half_of_all = { (0..ENGINES / 2 + 1).collect() },
 )]
-fn a_request_that_loses_engines_with_others_is_not_to_blame(ended: Vec<usize>) {
+fn crashes_with_a_common_cause_do_not_count(ended: Vec<usize>) {
     let mut known = Quarantine::default();
     let unlucky = request("unlucky");
     for loss in 0..6 {
@@ -122,7 +127,7 @@
 /// Engines that end one after another under the same request are no common cause, however quickly
 /// they end.
 #[test]
-fn engines_that_ended_under_the_same_request_are_no_excuse() {
+fn engines_ended_by_the_same_request_are_no_common_cause() {
     let mut known = Quarantine::default();
     let poison = request("poison");
     for number in 0..6 {
@@ -135,7 +140,7 @@
 /// A request is sent through many instances at the same moment, and each sees one engine end.
 /// Without reports from the others this would look like a fault of the whole service.
 #[test]
-fn a_request_that_comes_to_all_instances_at_once_is_no_common_cause() {
+fn a_request_sent_to_all_instances_at_once_is_no_common_cause() {
     const INSTANCES: usize = 14;
     let mut instances: Vec<Quarantine> = (0..INSTANCES).map(|_| Quarantine::default()).collect();
     let poison = request("poison");
@@ -153,13 +158,13 @@
         assert_eq!(judged[0].1, Judgement::Counted);
     }
     let (first, others) = instances.split_first_mut().unwrap();
-    others.iter_mut().for_each(|other| tell(other, first, 2_000));
+    others.iter_mut().for_each(|other| send_reports(other, first, 2_000));
     assert!(is_quarantined(first, poison));
 }
 
 /// A request that waited at an engine which another request crashed counts for less.
 #[test]
-fn a_request_that_only_waited_needs_twice_as_many_crashes() {
+fn a_waiting_request_needs_twice_as_many_crashes() {
     let mut known = Quarantine::default();
     let waiting = request("waiting");
     for number in 0..5 {
@@ -180,7 +185,7 @@
     many_at_once = { Some(100), 9, Some(Stage::Begun) },
     ran_for_a_while = { Some(2_000), 4, None },
 )]
-fn a_run_has_just_begun(answered_ms: Option<u64>, events: u64, expected: Option<Stage>) {
+fn the_stage_of_a_lost_stream(answered_ms: Option<u64>, events: u64, expected: Option<Stage>) {
     assert_eq!(quarantine::stage_of_stream(answered_ms, events), expected);
 }
 
@@ -190,25 +195,25 @@
     complete = { None },
     far_beyond = { Some(20) },
 )]
-fn what_is_served_is_cleared_everywhere(event: Option<u64>) {
+fn a_served_request_is_cleared_at_all_instances(event: Option<u64>) {
     let mut here = Quarantine::default();
     let mut there = Quarantine::default();
     let unlucky = request("unlucky");
-    crashes(&mut here, unlucky, 0, 1_000);
-    crashes(&mut here, unlucky, 1, 2_000);
-    tell(&mut here, &mut there, 2_500);
+    quarantined_after_crash(&mut here, unlucky, 0, 1_000);
+    quarantined_after_crash(&mut here, unlucky, 1, 2_000);
+    send_reports(&mut here, &mut there, 2_500);
     here.clear_served(unlucky, event, 3_000);
     // Later reports of the old crashes from the other instance are ignored.
-    tell(&mut there, &mut here, 3_010);
+    send_reports(&mut there, &mut here, 3_010);
     assert!(here.suspects().is_empty());
-    tell(&mut here, &mut there, 3_020);
+    send_reports(&mut here, &mut there, 3_020);
     assert!(there.suspects().is_empty());
-    assert!(!crashes(&mut there, unlucky, 2, 4_000));
+    assert!(!quarantined_after_crash(&mut there, unlucky, 2, 4_000));
 }
 
 /// A run that crashes engines far into its answer gets equally far each time.
 #[test]
-fn a_run_that_only_gets_as_far_as_before_is_not_cleared() {
+fn a_run_that_gets_no_further_than_before_is_not_cleared() {
     let mut known = Quarantine::default();
     let poison = request("poison");
     let at = |number, at_ms| Crash { event: 100, ..crash(poison, number, Stage::Begun, at_ms) };
@@ -219,11 +224,11 @@
 }
 
 #[test]
-fn a_quarantine_ends_after_its_time_and_is_forgotten() {
+fn a_quarantine_expires() {
     let mut known = Quarantine::default();
     let poison = request("poison");
     for number in 0..3 {
-        crashes(&mut known, poison, number, 1_000);
+        quarantined_after_crash(&mut known, poison, number, 1_000);
     }
     let until_ms = known.suspects()[&poison].until_ms.unwrap();
     known.forget(until_ms - 1);
@@ -234,24 +239,24 @@
 
 /// Two instances that keep reporting to each other do not extend a quarantine.
 #[test]
-fn telling_makes_no_quarantine_longer() {
+fn repeated_reports_do_not_extend_a_quarantine() {
     let mut here = Quarantine::default();
     let mut there = Quarantine::default();
     let poison = request("poison");
     for number in 0..3 {
-        crashes(&mut here, poison, number, 1_000);
+        quarantined_after_crash(&mut here, poison, number, 1_000);
     }
     let until_ms = here.suspects()[&poison].until_ms.unwrap();
     for round in 0..500 {
         let now_ms = 2_000 + 350 * round;
         // Each message takes 100 ms.
-        let told = here.next_part(now_ms);
-        for told in told {
-            there.hear(told, now_ms + 100);
+        let report = here.next_part(now_ms);
+        for report in report {
+            there.hear(report, now_ms + 100);
         }
-        let told = there.next_part(now_ms + 200);
-        for told in told {
-            here.hear(told, now_ms + 300);
+        let report = there.next_part(now_ms + 200);
+        for report in report {
+            here.hear(report, now_ms + 300);
         }
     }
     assert_eq!(here.suspects()[&poison].until_ms, Some(until_ms));
@@ -259,43 +264,48 @@
 }
 
 #[test]
-fn an_operator_lifts_a_quarantine_for_all() {
+fn an_operator_lifts_a_quarantine_at_all_instances() {
     let mut here = Quarantine::default();
     let mut there = Quarantine::default();
     let poison = request("poison");
     for number in 0..3 {
-        crashes(&mut here, poison, number, 1_000);
+        quarantined_after_crash(&mut here, poison, number, 1_000);
     }
-    tell(&mut here, &mut there, 2_000);
+    send_reports(&mut here, &mut there, 2_000);
     assert!(there.lift(poison, 2_100));
     assert!(!there.lift(request("other"), 2_100));
-    tell(&mut there, &mut here, 2_200);
+    send_reports(&mut there, &mut here, 2_200);
     assert!(!is_quarantined(&here, poison) && !is_quarantined(&there, poison));
 }
 
 /// Memory and messages stay bounded whatever callers send, and a quarantined request is not
 /// evicted.
 #[test]
-fn a_flood_of_crashes_stays_bounded() {
-    const MOST: usize = 512;
+fn memory_stays_bounded_under_a_flood_of_crashes() {
+    const MAX_RECORDS: usize = 512;
     let mut known = Quarantine::default();
     let poison = request("poison");
     for number in 0..3 {
-        crashes(&mut known, poison, number, 1_000);
+        quarantined_after_crash(&mut known, poison, number, 1_000);
     }
     for index in 0..3_000 {
         let fingerprint = request(&format!("flood-{index}"));
-        crashes(&mut known, fingerprint, index % ENGINES, 2_000 + index as u64 * 1_000);
+        quarantined_after_crash(
+            &mut known,
+            fingerprint,
+            index % ENGINES,
+            2_000 + index as u64 * 1_000,
+        );
     }
-    assert!(known.suspects().len() <= MOST);
+    assert!(known.suspects().len() <= MAX_RECORDS);
     assert!(is_quarantined(&known, poison));
-    let told = known.next_part(4_000_000);
-    assert!(told.len() <= 16 && rmp_serde::to_vec(&told).unwrap().len() < 4_096);
+    let report = known.next_part(4_000_000);
+    assert!(report.len() <= 16 && rmp_serde::to_vec(&report).unwrap().len() < 4_096);
 }
 
 /// A fingerprint is parsed back from its text unchanged.
 #[test]
-fn a_fingerprint_is_read_as_it_is_written() {
+fn a_fingerprint_is_parsed_from_its_text() {
     let fingerprint = request("any");
     assert_eq!(Fingerprint::read(&fingerprint.to_string()), Some(fingerprint));
     assert_eq!(Fingerprint::read("no fingerprint"), None);
@@ -303,7 +313,7 @@
 
 /// The fingerprint includes the organisation and the boundaries between the parts of a request.
 #[test]
-fn requests_of_others_are_others() {
+fn different_requests_have_different_fingerprints() {
     let of = |target: &str, organisation: Option<&str>, body: &'static [u8]| {
         let organisation = organisation.map(Arc::from);
         let body = Bytes::from_static(body);
