--- a/tests/gateway/patience.rs
+++ b/tests/gateway/patience.rs
@@ -50,7 +50,7 @@
     fewer_events = { &[(listed(900, 3), 1_900), (listed(910, 1), 2_800)], Verdict::Wait },
     time_goes_back = { &[(listed(900, 3), 3_500), (listed(900, 3), 200)], Verdict::Wait },
 )]
-fn a_silent_run_is_judged_by_what_its_engine_says(looks: &[(RunStatus, u64)], last: Verdict) {
+fn a_silent_run_is_judged_by_the_engine_state(looks: &[(RunStatus, u64)], last: Verdict) {
     let mut silence = Silence::before_first_event(1_000, Some(8_000));
     let mut verdict = Verdict::Wait;
     for (status, asked_ms) in looks {
@@ -67,12 +67,12 @@
     untold = { RunStatus::Untold, 900, false },
     gone = { RunStatus::Missing, 900, false },
 )]
-fn a_run_that_is_no_longer_named_was_put_out(status: RunStatus, age_ms: u64, is_out: bool) {
-    assert_eq!(silence::is_preempted(status, age_ms), is_out);
+fn a_run_that_is_no_longer_listed_was_preempted(status: RunStatus, age_ms: u64, expected: bool) {
+    assert_eq!(silence::is_preempted(status, age_ms), expected);
 }
 
 #[test]
-fn what_was_heard_or_has_no_other_attempt_is_never_overdue() {
+fn a_run_with_events_or_without_further_attempts_is_never_overdue() {
     assert_eq!(Silence::new(0).judge(RunStatus::MayWait, 60_000), Verdict::Wait);
     assert_eq!(
         Silence::before_first_event(0, None).judge(RunStatus::MayWait, 60_000),
@@ -88,7 +88,7 @@
 /// Requests on machines that take ten times as long get ten times as much time, and each attempt
 /// doubles it.
 #[test]
-fn a_first_event_is_overdue_by_what_others_took() {
+fn the_overdue_time_follows_measured_latencies() {
     let known = |us_per_token: u64| {
         let mut known = Latencies::default();
         (0..100).for_each(|_| known.record(us_per_token));
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn patience_is_a_part_of_what_the_route_declares() {
+fn silence_timeouts_are_fractions_of_what_the_route_declares() {
     let usual = SilenceTimeouts::of(4_500, 700);
     assert_eq!(SilenceTimeouts::of(0, 0), usual, "defaults for undeclared values");
     assert_eq!((usual.first_event_ms, usual.gap_ms, usual.stalled_reading_ms), (900, 140, 700));
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn quantiles_follow_what_was_seen_last() {
+fn quantiles_follow_recent_samples() {
     let mut known = Latencies::default();
     assert_eq!(known.quantile(0.95), None);
     (0..19).for_each(|_| known.record(30));
@@ -136,7 +136,7 @@
 /// All calls of one service become ten times slower. Hedges must stay few, far below the budget of
 /// repeats, and while latencies are normal a silent call is hedged in time for its objective.
 #[test]
-fn a_slow_service_is_no_storm_of_second_attempts() {
+fn a_slow_service_causes_few_hedges() {
     let bound = Bound {
         ratio: 0.8,
         slack: 0.0,
@@ -154,7 +154,7 @@
     );
     assert_eq!(hedge::delay_ms(&known, 0), None);
     let mut budget = Budget::default();
-    let mut second = [0; 2];
+    let mut hedges = [0; 2];
     for (phase, factor) in [1, 10].into_iter().enumerate() {
         for call in 0..2_000 {
             let now_ms = (phase * 2_000 + call) as u64 * 10;
@@ -162,7 +162,7 @@
             let takes_ms = factor * random.u64(20..60);
             let after_ms = hedge::delay_ms(&known, 150).unwrap();
             if takes_ms > after_ms && budget.try_repeat(bound, now_ms) {
-                second[phase] += 1;
+                hedges[phase] += 1;
             }
             known.record(takes_ms);
         }
@@ -171,12 +171,12 @@
             assert!((90..150).contains(&after_ms), "not in time for the objective: {after_ms}");
         }
     }
-    assert!(second[0] < 20, "{second:?}");
-    assert!(second[1] < 300, "of 2,000, until the quantiles follow the slowdown: {second:?}");
+    assert!(hedges[0] < 20, "{hedges:?}");
+    assert!(hedges[1] < 300, "of 2,000, until the quantiles follow the slowdown: {hedges:?}");
 }
 
 #[test]
-fn of_entries_with_one_address_the_youngest_counts() {
+fn the_youngest_entry_of_an_address_counts() {
     let all = [at("old", 80, 5), at("older", 80, 3), at("new", 80, 9), at("other", 81, 1)];
     let passed: Vec<String> =
         placement::superseded(all.iter()).iter().map(ToString::to_string).collect();
@@ -190,7 +190,7 @@
 /// directory crashed again: its entry replaced the next incarnation, which the directory had listed
 /// since.
 #[test]
-fn what_was_found_yields_to_what_was_listed_later() {
+fn a_rediscovered_engine_yields_to_a_later_entry() {
     let mut fleet = Fleet::default();
     fleet.replace(5, vec![at("old", 80, 2)], &[], 0);
     let mut rediscovered = Rediscovered::default();
@@ -205,16 +205,16 @@
 }
 
 #[test]
-fn another_birth_is_another_incarnation() {
-    let born = |born_ms| Upstream { born_ms, ..at("a", 80, 1) };
-    assert!(born(Some(7)).is_same_life(&born(Some(7))));
-    assert!(!born(Some(7)).is_same_life(&born(Some(8))));
-    assert!(born(None).is_same_life(&born(Some(8))), "start time unknown");
-    assert!(!born(Some(7)).is_same_life(&at("a", 81, 1)));
+fn another_start_time_is_another_incarnation() {
+    let started = |born_ms| Upstream { born_ms, ..at("a", 80, 1) };
+    assert!(started(Some(7)).is_same_life(&started(Some(7))));
+    assert!(!started(Some(7)).is_same_life(&started(Some(8))));
+    assert!(started(None).is_same_life(&started(Some(8))), "start time unknown");
+    assert!(!started(Some(7)).is_same_life(&at("a", 81, 1)));
 }
 
 #[test]
-fn a_foreign_entry_goes_at_once_and_the_others_hold() {
+fn an_unusable_entry_is_removed_at_once_and_others_stay() {
     let mut fleet = Fleet::default();
     fleet.replace(5, vec![at("a", 80, 1), at("b", 81, 1)], &[], 0);
     fleet.regained(1_000);
@@ -228,7 +228,7 @@
 /// What an entry of a server must contain to name a usable upstream.
 #[parameterized(
     usual = { r#"{"backend": "s", "address": "10.0.0.1:80", "zone": "z", "state": "ready"}"#, true },
-    born = { r#"{"backend": "s", "address": "10.0.0.1:80", "zone": "z", "state": "draining", "born": 1790000000000}"#, true },
+    started = { r#"{"backend": "s", "address": "10.0.0.1:80", "zone": "z", "state": "draining", "born": 1790000000000}"#, true },
     no_address = { r#"{"backend": "s", "zone": "z", "state": "ready"}"#, false },
     other_type = { r#"{"backend": ["s"], "address": "10.0.0.1:80", "zone": "z", "state": "ready"}"#, false },
     other_state = { r#"{"backend": "s", "address": "10.0.0.1:80", "zone": "z", "state": "asleep"}"#, false },
@@ -238,7 +238,7 @@
     no_text = { "\u{1}\u{2}", false },
     nothing = { "", false },
 )]
-fn an_entry_of_another_writer_names_no_upstream(value: &str, is_usable: bool) {
+fn only_a_complete_entry_names_a_usable_upstream(value: &str, is_usable: bool) {
     let record = document::decode("servers/a", value.as_bytes(), 4).expect("the key is known");
     assert_eq!(format!("{record:?}").starts_with("Upstream("), is_usable, "{record:?}");
 }
@@ -249,7 +249,7 @@
     hasty = { 1_000, 333, 333 },
     nothing_left = { 0, 0, 0 },
 )]
-fn callers_of_an_instance_that_starts_in_an_outage_come_back_in_time(
+fn a_starting_instance_gives_a_retry_time_that_callers_accept(
     left_ms: u64,
     least_ms: u64,
     most_ms: u64,
@@ -266,7 +266,7 @@
 /// instance has seen no upstream since its start is therefore expected back sooner than the five
 /// seconds of other outages.
 #[test]
-fn a_service_that_was_never_seen_is_soon_listed() {
+fn the_expected_outage_is_shorter_for_a_service_never_seen() {
     let service: Arc<str> = "plan".into();
     let mut random = fastrand::Rng::with_seed(3);
     let mut outages = Outages::default();
@@ -290,13 +290,13 @@
     time_leaps_back = { EngineActivity { engines: 100, reading: 100 }, 0, false },
     time_leaps_forward = { EngineActivity { engines: 100, reading: 100 }, u64::MAX, true },
 )]
-fn late_requests_let_others_go_first(load: EngineActivity, now_ms: u64, may_send: bool) {
+fn late_requests_wait_while_engines_are_busy(load: EngineActivity, now_ms: u64, may_send: bool) {
     let late = LateRequest { since_ms: 1_000, until_ms: 25_000 };
     assert_eq!(late.may_send(load, now_ms), may_send);
 }
 
 #[test]
-fn a_late_request_whose_time_is_over_does_not_wait() {
+fn a_late_request_past_its_deadline_does_not_wait() {
     let late = LateRequest { since_ms: 5_000, until_ms: 1_000 };
     assert!(late.may_send(EngineActivity { engines: 9, reading: 9 }, 5_000));
 }
@@ -309,7 +309,7 @@
     many = { 75, 4..=8 },
     two_years_from_now = { 360, 4..=8 },
 )]
-fn engines_are_asked_what_they_keep_by_a_few(instances: u32, mean: std::ops::RangeInclusive<u32>) {
+fn each_engine_is_asked_by_a_few_instances(instances: u32, mean: std::ops::RangeInclusive<u32>) {
     const ENGINES: u32 = 600;
     let mut random = fastrand::Rng::with_seed(7);
     let asked: Vec<u32> = (0..ENGINES)
@@ -329,7 +329,7 @@
 /// Callers retry only once or a few times: before any running request has ended, they would find
 /// the same engines full.
 #[parameterized(usual = { 25_000, 4_166, 6_250 }, short = { 1_500, 300, 500 }, nothing = { 0, 300, 300 })]
-fn a_full_service_names_a_time_that_its_callers_honour(left_ms: u64, least_ms: u64, most_ms: u64) {
+fn full_engines_give_a_retry_time_that_callers_accept(left_ms: u64, least_ms: u64, most_ms: u64) {
     let mut random = fastrand::Rng::with_seed(3);
     for _ in 0..100 {
         let after_ms = outages::full_retry_after_ms(left_ms, &mut random);
@@ -339,7 +339,7 @@
 
 /// An outage of the directory is noticed after seconds, and losses are reported for a shorter time.
 #[test]
-fn engines_lost_before_the_silence_is_noticed_are_looked_for() {
+fn engines_lost_before_the_outage_is_noticed_are_searched_for() {
     let mut search_list = SearchList::default();
     search_list.note(["crashed".into(), "lapsed".into()], |_| true);
     search_list.note([], |id| id != "lapsed");
@@ -351,7 +351,7 @@
 }
 
 #[test]
-fn an_engine_that_stays_away_is_not_looked_for_for_ever() {
+fn the_search_for_a_lost_engine_ends() {
     let mut search_list = SearchList::default();
     search_list.note(["gone".into()], |_| true);
     let mut looks = 0;
