--- a/tests/gateway/engine.rs
+++ b/tests/gateway/engine.rs
@@ -17,7 +17,7 @@
 }
 
 #[parameterized(
-    nothing_there = { load(0.0, 0, 0), load(1.0, 0, 6_000), SHORT },
+    empty_engine = { load(0.0, 0, 0), load(1.0, 0, 6_000), SHORT },
     a_prompt_before_it = { load(2.0, 0, 12_000), load(1.0, 40_000, 41_000), SHORT },
     a_short_prompt_before_a_long_one = { load(1.0, 5_000, 6_000), load(2.0, 0, 12_000), LONG },
     no_room = { load(5.0, 0, 30_000), load(1.0, 0, 50_000), SHORT },
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_kept_prefix_counts_by_what_it_saves_against_the_queue_there() {
+fn a_cached_prefix_is_weighed_against_the_queue() {
     let need = Need { prompt_tokens: 18_000, output_tokens: 1_000 };
     let idle = load(0.0, 0, 0);
     let keeps = |pending_tokens| Load { kept_tokens: 13_000, ..load(0.0, pending_tokens, 0) };
@@ -41,21 +41,21 @@
 /// Invalid input must not reverse a choice: no prompt, no configured memory, or absurdly large
 /// numbers.
 #[test]
-fn numbers_without_sense_change_nothing() {
+fn invalid_numbers_do_not_affect_the_cost() {
     let nothing = Need::default();
     assert_eq!(load(2.0, 9_000, 0).cost(nothing), 2.0);
-    let unannounced = Load { memory_tokens: None, slots: None, ..load(9.0, 0, u64::MAX) };
-    assert!(unannounced.has_room(LONG));
-    assert_eq!(unannounced.cost(SHORT), 9.0);
-    let announced_as_nothing = Load { memory_tokens: Some(0), slots: Some(0), ..load(9.0, 0, 0) };
-    assert!(announced_as_nothing.has_room(LONG));
+    let undeclared = Load { memory_tokens: None, slots: None, ..load(9.0, 0, u64::MAX) };
+    assert!(undeclared.has_room(LONG));
+    assert_eq!(undeclared.cost(SHORT), 9.0);
+    let declared_as_zero = Load { memory_tokens: Some(0), slots: Some(0), ..load(9.0, 0, 0) };
+    assert!(declared_as_zero.has_room(LONG));
     let huge = Need { prompt_tokens: u64::MAX, output_tokens: u64::MAX };
     assert!(load(0.0, u64::MAX, u64::MAX).cost(huge).is_finite());
     assert!(!load(0.0, 0, 0).has_room(huge));
 }
 
 #[test]
-fn the_configuration_announces_memory_and_slots() {
+fn the_configuration_declares_memory_and_slots() {
     let config = document::decode_config(config(2, &[KEY], &[]).to_string().as_bytes()).unwrap();
     let engine = config.services["plan-llm"].engine.clone().unwrap();
     assert_eq!((engine.memory_tokens, engine.slots), (Some(55_000), Some(24)));
@@ -72,16 +72,16 @@
 }
 
 /// Returns how many requests of a load were placed on engines whose memory had no room for them.
-fn placed_without_room(is_announced: bool) -> usize {
+fn placed_without_room(is_declared: bool) -> usize {
     const ENGINES: usize = 24;
     const REQUESTS: usize = 400;
-    const AT_ONCE: usize = 48;
+    const MAX_RUNNING: usize = 48;
     let mut random = fastrand::Rng::with_seed(11);
     let mut engines = vec![load(0.0, 0, 0); ENGINES];
     let mut running: Vec<(usize, Need)> = Vec::new();
     let mut without_room = 0;
     for _ in 0..REQUESTS {
-        if running.len() == AT_ONCE {
+        if running.len() == MAX_RUNNING {
             let (engine, need) = running.remove(0);
             engines[engine].runs -= 1.0;
             engines[engine].reserved_tokens -= need.memory_tokens();
@@ -90,7 +90,7 @@
         let candidate = |(number, load): (usize, &Load)| Candidate {
             id: format!("e{number}").into(),
             domain: "hall".into(),
-            load: Load { memory_tokens: load.memory_tokens.filter(|_| is_announced), ..*load },
+            load: Load { memory_tokens: load.memory_tokens.filter(|_| is_declared), ..*load },
             failure_rate: 0.0,
             is_suspect: false,
         };
