--- a/tests/gateway/decisions.rs
+++ b/tests/gateway/decisions.rs
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn an_older_listing_changes_nothing() {
+fn an_older_list_changes_nothing() {
     let mut fleet = Fleet::default();
     fleet.replace(5, vec![upstream("a", false)], &[], 0);
     assert!(!fleet.replace(4, vec![], &[], 1));
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn what_lapsed_in_an_outage_has_time_to_come_back() {
+fn entries_that_lapsed_in_an_outage_are_kept_for_a_while() {
     let mut fleet = Fleet::default();
     fleet.replace(5, vec![upstream("a", false), upstream("b", false)], &[], 0);
     fleet.regained(10_000);
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn an_empty_listing_after_an_outage_empties_nothing_at_once() {
+fn an_empty_list_after_an_outage_removes_nothing_at_once() {
     let mut fleet = Fleet::default();
     fleet.replace(5, vec![upstream("a", false), upstream("gone", true)], &[], 0);
     fleet.regained(1_000);
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn instances_with_one_stale_picture_do_not_meet() {
+fn instances_with_the_same_stale_loads_choose_different_engines() {
     let candidates: Vec<Candidate> =
         (0..16).map(|index| candidate(&format!("e{index}"), "hall", 0.0)).collect();
     let mut taken = [0; 16];
@@ -120,12 +120,12 @@
 /// another's report. No prompt may wait behind more than a few others while engines with little
 /// more load read nothing.
 #[test]
-fn what_others_place_unseen_spreads_a_choice() {
+fn unseen_placements_spread_a_choice() {
     let candidates: Vec<Candidate> = (0..24)
         .map(|index| candidate(&format!("e{index}"), "hall", if index < 2 { 0.0 } else { 1.5 }))
         .collect();
     // The maximum number of prompts at one engine, for each of forty rounds.
-    let most_at_one = |unseen| -> Vec<u32> {
+    let max_at_one_engine = |unseen| -> Vec<u32> {
         let round = |round: u64| {
             let mut taken = [0; 24];
             for instance in 0..10 {
@@ -138,17 +138,17 @@
         };
         (0..40).map(round).collect()
     };
-    let with_others = most_at_one(9.0);
+    let with_others = max_at_one_engine(9.0);
     assert!(with_others.iter().sum::<u32>() < 40 * 4, "{with_others:?}");
-    let alone = most_at_one(0.0);
+    let alone = max_at_one_engine(0.0);
     assert!(alone.iter().all(|most| *most >= 3), "without unseen requests loads decide: {alone:?}");
 }
 
 #[parameterized(
     alone = { &[0.0, 1.0, 2.0], 0.0 },
-    nothing_to_choose_from = { &[], 9.0 },
+    no_candidate = { &[], 9.0 },
     one = { &[3.0], 9.0 },
-    numbers_beyond_sense = { &[0.0, f64::INFINITY], 1e300 },
+    invalid_numbers = { &[0.0, f64::INFINITY], 1e300 },
 )]
 fn a_spread_has_bounds(costs: &[f64], unseen: f64) {
     let spread = spread::spread(costs, unseen);
@@ -165,9 +165,9 @@
     }
     candidates[1].is_suspect = true;
     assert_eq!(choose(&candidates, &constraints, 0.0, &mut random), Some(0));
-    let nobody =
+    let everything_excluded =
         Constraints { excluded: vec!["near".into(), "far".into()], ..Constraints::default() };
-    assert_eq!(choose(&candidates, &nobody, 0.0, &mut random), None);
+    assert_eq!(choose(&candidates, &everything_excluded, 0.0, &mut random), None);
 }
 
 /// Guards against repeats that are forgotten too early. Upstreams count repeats in any interval of
@@ -193,7 +193,7 @@
 }
 
 #[test]
-fn repeats_keep_to_the_bound_over_all_instances() {
+fn repeats_stay_within_the_budget_of_all_instances() {
     let mut bound = Bound {
         ratio: 0.8,
         slack: 150.0,
@@ -217,12 +217,12 @@
 /// A copy in the failure domain of its run is lost together with it. A domain that lost engines a
 /// moment ago is therefore preferred to that one; only engines that are probably lost are worse.
 #[parameterized(
-    apart_from_the_run = { &["own", "lost", "clean"], "clean" },
-    rather_where_engines_were_lost = { &["own", "lost"], "lost" },
-    rather_in_its_own_domain = { &["own", "gone"], "own" },
+    prefers_another_domain = { &["own", "lost", "clean"], "clean" },
+    prefers_a_lost_domain_to_its_own = { &["own", "lost"], "lost" },
+    prefers_its_own_domain_to_a_lost_engine = { &["own", "gone"], "own" },
     only_one = { &["gone"], "gone" },
 )]
-fn a_copy_keeps_away_from_its_run(names: &[&str], expected: &str) {
+fn a_copy_avoids_the_failure_domain_of_its_run(names: &[&str], expected: &str) {
     let mut candidates: Vec<Candidate> =
         names.iter().map(|name| candidate(name, name, 0.0)).collect();
     candidates.iter_mut().for_each(|known| known.is_suspect = &*known.id == "gone");
@@ -244,7 +244,7 @@
 }
 
 #[test]
-fn a_falling_domain_makes_its_engines_doubtful_for_a_moment() {
+fn correlated_losses_make_the_domain_suspected_for_a_moment() {
     let mut losses = Losses::default();
     losses.note(&"a".into(), loss(1_000, true));
     losses.note_reported(&"b".into(), loss(1_010, false));
@@ -268,7 +268,7 @@
 }
 
 #[test]
-fn only_own_losses_are_told_and_old_ones_are_forgotten() {
+fn only_own_losses_are_reported_and_old_ones_expire() {
     let mut losses = Losses::default();
     losses.note(&"a".into(), loss(1_000, true));
     losses.note_reported(&"b".into(), loss(1_000, false));
@@ -287,7 +287,7 @@
 }
 
 #[test]
-fn what_was_found_stands_for_whoever_had_the_address_until_the_directory_tells() {
+fn a_rediscovered_engine_replaces_the_entry_at_its_address_until_the_directory_answers() {
     let mut fleet = Fleet::default();
     fleet.replace(5, vec![at("old", 80), at("other", 81)], &[], 0);
     let mut rediscovered = Rediscovered::default();
@@ -310,7 +310,7 @@
 }
 
 #[test]
-fn what_was_found_ends_with_the_time_to_be_listed_again() {
+fn rediscovered_engines_expire_when_they_could_be_listed_again() {
     let mut rediscovered = Rediscovered::default();
     rediscovered.add(at("new", 80));
     assert!(!rediscovered.update_directory_state(false, 0));
@@ -324,7 +324,7 @@
 }
 
 #[test]
-fn only_whole_events_come_out_wherever_the_bytes_are_cut() {
+fn the_splitter_yields_only_whole_events() {
     let text =
         "x-weight-versions: 3\nid: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\ndata: c\n\nid: 4\nda";
     for cut in 0..text.len() {
@@ -340,7 +340,7 @@
 
 /// A delta brings another instance to the same list, whichever revision it had.
 #[test]
-fn a_delta_brings_another_to_the_same_list() {
+fn a_delta_brings_other_instances_to_the_same_list() {
     let mut source = Fleet::default();
     source.replace(5, vec![upstream("a", false), upstream("b", false)], &[], 0);
     let mut others = vec![Fleet::default()];
@@ -366,7 +366,7 @@
 }
 
 #[test]
-fn what_lapsed_elsewhere_expires_here_too() {
+fn entries_that_lapsed_at_another_instance_expire_here_too() {
     let mut source = Fleet::default();
     source.replace(5, vec![upstream("a", false), upstream("b", false)], &[], 0);
     source.regained(1_000);
@@ -388,7 +388,7 @@
     only_what_callers_honour = { &[], 0, 9_000, 3_000, 3_000 },
     little_time = { &[], 0, 150, 300, 300 },
 )]
-fn a_refusal_outlasts_the_outage(
+fn the_retry_time_outlasts_the_outage(
     seen_ms: &[u64],
     lasts_ms: u64,
     left_ms: u64,
