--- a/tests/gateway/backoff.rs
+++ b/tests/gateway/backoff.rs
@@ -7,7 +7,7 @@
 use siskinrock_fakes::signals::Signals;
 use yare::parameterized;
 
-use crate::load::{self, AT_ONCE, CALL_EVERY, STREAM_EVERY, booking_or_look_up};
+use crate::load::{self, CALL_INTERVAL, MAX_REFUSAL_DURATION, STREAM_INTERVAL, booking_or_look_up};
 use crate::support::{self, call, plan};
 
 /// For how long they ask.
@@ -46,7 +46,7 @@
     full.signal(backing_off());
     others.iter().for_each(|other| other.fail(fault));
     let until = Instant::now() + 2 * BACKOFF;
-    load::play(&running, CALL_EVERY, booking_or_look_up, until).await;
+    load::run_load(&running, CALL_INTERVAL, booking_or_look_up, until).await;
     let most = most_in_a_backoff(&full.seen());
     assert!(most <= ALLOWED, "{most} requests in a backoff");
 }
@@ -61,7 +61,7 @@
     full.signal(backing_off());
     let until = Instant::now() + 2 * BACKOFF;
     let look_up = |_| call("GET", "/look/seat");
-    let got = load::play(&running, CALL_EVERY, look_up, until).await;
+    let got = load::run_load(&running, CALL_INTERVAL, look_up, until).await;
     let most = usize::from(instances) * (2 + ALLOWED);
     let seen = full.seen().len();
     assert!(seen <= most, "{seen} requests in two backoffs of {instances} instances");
@@ -78,13 +78,13 @@
     services.iter().for_each(|service| service.signal(backing_off()));
     let since = Instant::now();
     let look_up = |_| call("GET", "/look/seat");
-    load::play(&running, CALL_EVERY, look_up, since + BOUND).await;
+    load::run_load(&running, CALL_INTERVAL, look_up, since + BOUND).await;
     services.iter().for_each(|service| service.fail(Fault::None));
     services.iter().for_each(|service| service.signal(Signals::default()));
     let asked_at = Instant::now();
-    let refused = load::ask(running.front(0), call("POST", "/book/berth")).await;
+    let refused = load::send(running.front(0), call("POST", "/book/berth")).await;
     assert_eq!((refused.status, running.runs_of(&refused.id)), (503, 0));
-    assert!(refused.took <= AT_ONCE, "refused after {:?}", refused.took);
+    assert!(refused.took <= MAX_REFUSAL_DURATION, "refused after {:?}", refused.took);
     let after = Duration::from_secs_f64(refused.retry_after_s.expect("it says when"));
     let first_refused = services.iter().flat_map(|service| service.seen()).map(|seen| seen.at);
     let first_free = first_refused.min().expect("they were asked") + BACKOFF;
@@ -92,7 +92,7 @@
     assert!(asked_at + after + slack >= first_free, "{after:?} is too early");
     assert!(after <= BACKOFF + Duration::from_secs(1), "{after:?} is too late");
     tokio::time::sleep_until((asked_at + after + slack).into()).await;
-    let served = load::ask(running.front(0), call("POST", "/book/berth")).await;
+    let served = load::send(running.front(0), call("POST", "/book/berth")).await;
     assert_eq!(served.status, 200);
 }
 
@@ -112,7 +112,7 @@
             torn.fail(engine::Fault::None);
         }
     };
-    let streams = load::play(&running, STREAM_EVERY, |_| plan(), until);
+    let streams = load::run_load(&running, STREAM_INTERVAL, |_| plan(), until);
     let (got, ()) = tokio::join!(streams, tear);
     let most = most_in_a_backoff(&full.seen());
     assert!(most <= ALLOWED, "{most} requests in a backoff");
@@ -128,7 +128,7 @@
     services.iter().for_each(|service| service.fail(Fault::Full));
     let signals = Signals { backoff_s: Some(backoff_s), ..Signals::default() };
     services.iter().for_each(|service| service.signal(signals));
-    assert_eq!(load::ask(running.front(0), call("GET", "/look/seat")).await.status, 503);
+    assert_eq!(load::send(running.front(0), call("GET", "/look/seat")).await.status, 503);
     services.iter().for_each(|service| service.fail(Fault::None));
-    assert_eq!(load::ask(running.front(0), call("GET", "/look/seat")).await.status, 200);
+    assert_eq!(load::send(running.front(0), call("GET", "/look/seat")).await.status, 200);
 }
--- a/tests/gateway/leaving.rs
+++ b/tests/gateway/leaving.rs
@@ -8,7 +8,7 @@
 use siskinrock_fakes::{caller, process, store};
 use yare::parameterized;
 
-use crate::load::{self, AT_ONCE, CALL_EVERY, STREAM_EVERY, booking_or_look_up};
+use crate::load::{self, CALL_INTERVAL, MAX_REFUSAL_DURATION, STREAM_INTERVAL, booking_or_look_up};
 use crate::support::{self, call, plan};
 
 /// So long after it said so, it gets nothing more.
@@ -31,7 +31,7 @@
     let said_at = Instant::now();
     let leaving = &running.site.services[0];
     leaving.signal(LEAVING);
-    let got = load::play(&running, CALL_EVERY, booking_or_look_up, said_at + LOAD).await;
+    let got = load::run_load(&running, CALL_INTERVAL, booking_or_look_up, said_at + LOAD).await;
     assert_eq!(late(&leaving.seen(), said_at), 0, "requests that came too late");
     assert_eq!(got.iter().filter(|got| got.status != 200).count(), 0, "others take them");
 }
@@ -52,7 +52,7 @@
     leaving.signal(LEAVING);
     running.site.services[1].fail(fault);
     let look_up = |_| call("GET", "/look/seat");
-    load::play(&running, CALL_EVERY, look_up, said_at + LOAD).await;
+    load::run_load(&running, CALL_INTERVAL, look_up, said_at + LOAD).await;
     assert_eq!(late(&leaving.seen(), said_at), 0, "requests that came too late");
 }
 
@@ -84,13 +84,13 @@
     running.site.store.fail(store::Fault::Silent);
     running.site.services.iter().for_each(|service| service.signal(LEAVING));
     let said_at = Instant::now();
-    let got = load::play(&running, CALL_EVERY, booking_or_look_up, said_at + LOAD).await;
+    let got = load::run_load(&running, CALL_INTERVAL, booking_or_look_up, said_at + LOAD).await;
     for service in &running.site.services {
         assert_eq!(late(&service.seen(), said_at), 0, "requests that came too late");
     }
     for got in got.iter().filter(|got| got.status != 200) {
         assert_eq!((got.status, running.runs_of(&got.id)), (503, 0));
-        assert!(got.took <= AT_ONCE && got.retry_after_s.is_some());
+        assert!(got.took <= MAX_REFUSAL_DURATION && got.retry_after_s.is_some());
     }
 }
 
@@ -110,7 +110,7 @@
             torn.fail(engine::Fault::None);
         }
     };
-    let streams = load::play(&running, STREAM_EVERY, |_| plan(), said_at + LOAD);
+    let streams = load::run_load(&running, STREAM_INTERVAL, |_| plan(), said_at + LOAD);
     let (got, ()) = tokio::join!(streams, tear);
     assert_eq!(late(&leaving.seen(), said_at), 0, "streams that came too late");
     let addr = leaving.addr.to_string();
--- a/tests/gateway/load.rs
+++ b/tests/gateway/load.rs
@@ -10,14 +10,14 @@
 
 /// Interval between calls, which gives fourteen times as many as an upstream accepts that limits
 /// itself to 6 a second.
-pub const CALL_EVERY: Duration = Duration::from_millis(12);
+pub const CALL_INTERVAL: Duration = Duration::from_millis(12);
 /// Interval between streams.
-pub const STREAM_EVERY: Duration = Duration::from_millis(30);
+pub const STREAM_INTERVAL: Duration = Duration::from_millis(30);
 /// Maximum duration of a refusal, which is sent at once.
-pub const AT_ONCE: Duration = Duration::from_millis(400);
+pub const MAX_REFUSAL_DURATION: Duration = Duration::from_millis(400);
 
 /// What a caller received.
-pub struct Got {
+pub struct Received {
     pub id: String,
     pub status: u16,
     pub retry_after_s: Option<f64>,
@@ -25,7 +25,7 @@
 }
 
 /// Sends one request, and reads a stream to its end.
-pub async fn ask(front: SocketAddr, sent: Call) -> Got {
+pub async fn send(front: SocketAddr, sent: Call) -> Received {
     let since = Instant::now();
     let is_stream = sent.part.is_some();
     let answer = if is_stream {
@@ -35,23 +35,23 @@
     };
     let answer = answer.unwrap_or_default();
     let retry_after_s = answer.header("retry-after").and_then(|value| value.parse().ok());
-    Got { id: sent.id, status: answer.status(), retry_after_s, took: since.elapsed() }
+    Received { id: sent.id, status: answer.status(), retry_after_s, took: since.elapsed() }
 }
 
 /// Sends calls to randomly chosen instances until a given time.
-pub async fn play(
+pub async fn run_load(
     running: &Running,
-    every: Duration,
+    interval: Duration,
     next: impl Fn(u64) -> Call,
     until: Instant,
-) -> Vec<Got> {
+) -> Vec<Received> {
     let mut asked = tokio::task::JoinSet::new();
     let mut number = 0;
     while Instant::now() < until {
         let front = running.front(fastrand::usize(..running.gateways.len()));
-        asked.spawn(ask(front, next(number)));
+        asked.spawn(send(front, next(number)));
         number += 1;
-        tokio::time::sleep(every).await;
+        tokio::time::sleep(interval).await;
     }
     asked.join_all().await
 }
--- a/tests/gateway/rate_limit.rs
+++ b/tests/gateway/rate_limit.rs
@@ -7,7 +7,9 @@
 use siskinrock_fakes::signals::Signals;
 use yare::parameterized;
 
-use crate::load::{self, AT_ONCE, CALL_EVERY, Got, STREAM_EVERY, booking_or_look_up};
+use crate::load::{
+    self, CALL_INTERVAL, MAX_REFUSAL_DURATION, Received, STREAM_INTERVAL, booking_or_look_up,
+};
 use crate::support::{self, call, plan};
 
 /// The rate that upstreams name.
@@ -52,7 +54,7 @@
     for service in &running.site.services[..2] {
         service.signal(limiting());
     }
-    let got = load::play(&running, CALL_EVERY, booking_or_look_up, named_at + LOAD).await;
+    let got = load::run_load(&running, CALL_INTERVAL, booking_or_look_up, named_at + LOAD).await;
     for service in &running.site.services[..2] {
         assert_within(&service.seen(), named_at);
     }
@@ -67,9 +69,10 @@
     let running = support::start(instances).await;
     let named_at = Instant::now();
     running.site.services.iter().for_each(|service| service.signal(limiting()));
-    let got = load::play(&running, CALL_EVERY, booking_or_look_up, named_at + LOAD).await;
+    let got = load::run_load(&running, CALL_INTERVAL, booking_or_look_up, named_at + LOAD).await;
     running.site.services.iter().for_each(|service| assert_within(&service.seen(), named_at));
-    let (served, refused): (Vec<&Got>, Vec<&Got>) = got.iter().partition(|got| got.status == 200);
+    let (served, refused): (Vec<&Received>, Vec<&Received>) =
+        got.iter().partition(|got| got.status == 200);
     let taken = running.site.services.len() as f64 * LIMIT_PER_S * LOAD.as_secs_f64();
     assert!(
         served.len() as f64 >= 0.6 * taken,
@@ -80,7 +83,7 @@
         assert_eq!(got.status, 503);
         assert!(got.retry_after_s.is_some_and(|after_s| after_s > 0.0));
         assert_eq!(running.runs_of(&got.id), 0);
-        assert!(got.took <= AT_ONCE, "refused after {:?}", got.took);
+        assert!(got.took <= MAX_REFUSAL_DURATION, "refused after {:?}", got.took);
     }
 }
 
@@ -101,7 +104,7 @@
     }
     running.site.services[2].fail(fault);
     let look_up = |_| call("GET", "/look/seat");
-    let got = load::play(&running, CALL_EVERY, look_up, named_at + LOAD).await;
+    let got = load::run_load(&running, CALL_INTERVAL, look_up, named_at + LOAD).await;
     for service in &running.site.services[..2] {
         assert_within(&service.seen(), named_at);
     }
@@ -126,7 +129,7 @@
             crashed += 1;
         }
     };
-    let streams = load::play(&running, STREAM_EVERY, |_| plan(), named_at + LOAD);
+    let streams = load::run_load(&running, STREAM_INTERVAL, |_| plan(), named_at + LOAD);
     let (got, ()) = tokio::join!(streams, crash);
     running.site.engines.iter().for_each(|engine| assert_within(&engine.seen(), named_at));
     let served = got.iter().filter(|got| got.status == 200).count();
@@ -147,9 +150,9 @@
         let mut number = 0;
         while named_at.elapsed() < 2 * LOAD {
             let front = fronts[fastrand::usize(..fronts.len())];
-            asked.spawn(load::ask(front, booking_or_look_up(number)));
+            asked.spawn(load::send(front, booking_or_look_up(number)));
             number += 1;
-            tokio::time::sleep(CALL_EVERY).await;
+            tokio::time::sleep(CALL_INTERVAL).await;
         }
         asked.join_all().await
     });
@@ -178,11 +181,12 @@
     let running = support::start(3).await;
     let limited = &running.site.services[0];
     limited.signal(limiting());
-    load::play(&running, CALL_EVERY, booking_or_look_up, Instant::now() + CONTACT).await;
+    load::run_load(&running, CALL_INTERVAL, booking_or_look_up, Instant::now() + CONTACT).await;
     limited.signal(Signals::default());
-    load::play(&running, CALL_EVERY, booking_or_look_up, Instant::now() + CONTACT).await;
+    load::run_load(&running, CALL_INTERVAL, booking_or_look_up, Instant::now() + CONTACT).await;
     let before = limited.seen().len();
-    let got = load::play(&running, CALL_EVERY, booking_or_look_up, Instant::now() + CONTACT).await;
+    let got =
+        load::run_load(&running, CALL_INTERVAL, booking_or_look_up, Instant::now() + CONTACT).await;
     let taken = limited.seen().len() - before;
     assert!(taken * 6 > got.len(), "{taken} of {} calls went to one of three services", got.len());
 }
@@ -196,6 +200,6 @@
     crossing.fail(Fault::Crossed);
     running.site.services.iter().for_each(|service| service.signal(limiting()));
     let named_at = Instant::now();
-    load::play(&running, CALL_EVERY, booking_or_look_up, named_at + LOAD).await;
+    load::run_load(&running, CALL_INTERVAL, booking_or_look_up, named_at + LOAD).await;
     assert_within(&crossing.seen(), named_at);
 }
