--- a/src/gateway/control/successors.rs
+++ b/src/gateway/control/successors.rs
@@ -57,7 +57,7 @@
         let mut lost = self.shared.own_lost();
         lost.extend(self.board.borrow().lost.keys().cloned());
         let view = self.shared.view.load();
-        sought.note(lost, |id| view.fleet.upstreams.contains_key(id));
+        sought.update(lost, |id| view.fleet.upstreams.contains_key(id));
     }
 
     /// Those of the upstreams that are engines and don't leave.
--- a/src/gateway/policy/hedge.rs
+++ b/src/gateway/policy/hedge.rs
@@ -8,10 +8,11 @@
 
 use super::latency::Latencies;
 
-/// Percentile of the latencies before which no call is hedged, so that at most one call in twenty
-/// is sent twice, however slow all are.
+/// No call is hedged before this percentile of the latencies, so that at most one call in twenty is
+/// sent twice, however slow all are.
 const DELAY_PERCENTILE: f64 = 0.95;
-/// The hedge itself should meet the objective in this fraction of the cases.
+/// Percentile of the latencies that is allowed for the hedge itself, so that it meets the objective
+/// in this fraction of the cases.
 const LATENCY_PERCENTILE: f64 = 0.75;
 
 /// How long after its first attempt a call is hedged; `None` if it is not.
@@ -19,9 +20,9 @@
 /// The hedge starts as late as the objective permits, but not before nearly all answers have
 /// arrived. While too few latencies are known, only a call that has already missed its objective is
 /// hedged.
-pub fn delay_ms(known: &Latencies, objective_ms: u64) -> Option<u64> {
+pub fn delay_ms(latencies: &Latencies, objective_ms: u64) -> Option<u64> {
     let (Some(min_delay_ms), Some(latency_ms)) =
-        (known.quantile(DELAY_PERCENTILE), known.quantile(LATENCY_PERCENTILE))
+        (latencies.quantile(DELAY_PERCENTILE), latencies.quantile(LATENCY_PERCENTILE))
     else {
         return (objective_ms > 0).then_some(objective_ms);
     };
--- a/src/gateway/policy/losses.rs
+++ b/src/gateway/policy/losses.rs
@@ -57,7 +57,7 @@
         self.known.entry(Arc::clone(id)).or_insert(loss);
     }
 
-    /// Drops expired losses, except those of upstreams for which `is_final` holds.
+    /// Drops expired losses, except those that `is_final` marks as permanent.
     pub fn expire(&mut self, now_ms: u64, is_final: impl Fn(&str) -> bool) {
         self.known.retain(|id, loss| loss.at_ms + LOSS_RETENTION_MS > now_ms || is_final(id));
     }
--- a/src/gateway/policy/placement.rs
+++ b/src/gateway/policy/placement.rs
@@ -9,13 +9,13 @@
 use super::spread;
 use crate::decide::Random;
 
-/// Cost of another failure domain, in units of one request's load: traffic between domains is paid
-/// for, but a busier engine slows every run on it.
+/// Cost of an upstream outside the preferred failure domain, in units of one request's load:
+/// traffic between domains is paid for, but a busier engine slows every run on it.
 const CROSS_DOMAIN_COST: f64 = 0.75;
 /// Cost of an upstream that failed every recent request, in requests.
 const FAILURE_COST: f64 = 24.0;
 
-/// An upstream as input of the choice.
+/// What the choice knows of an upstream.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Candidate {
     /// Its id.
--- a/src/gateway/policy/search.rs
+++ b/src/gateway/policy/search.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Maximum number of searches for one engine; one that is not back by then is gone for good.
+/// Maximum number of searches for one engine, after which it counts as gone for good.
 const MAX_SEARCHES: u32 = 12;
 
 /// Lost engines, with the number of searches for each.
@@ -18,7 +18,7 @@
 
 impl SearchList {
     /// Adds lost engines, and drops those that the directory no longer lists.
-    pub fn note(
+    pub fn update(
         &mut self,
         lost: impl IntoIterator<Item = Arc<str>>,
         is_listed: impl Fn(&str) -> bool,
--- a/tests/gateway/patience.rs
+++ b/tests/gateway/patience.rs
@@ -42,29 +42,32 @@
     gone = { &[(RunStatus::Missing, 1_900)], Verdict::Leave(LeaveReason::Gone) },
     may_wait = { &[(RunStatus::MayWait, 1_900), (RunStatus::MayWait, 2_800)], Verdict::Wait },
     overdue = { &[(RunStatus::MayWait, 1_900), (RunStatus::MayWait, 9_000)], Verdict::Leave(LeaveReason::Overdue) },
-    untold = { &[(RunStatus::Untold, 1_900)], Verdict::Wait },
+    not_reported = { &[(RunStatus::Untold, 1_900)], Verdict::Wait },
     reading = { &[(listed(100, 0), 1_900), (listed(900, 0), 2_800)], Verdict::Wait },
     answer_lost = { &[(listed(900, 3), 1_900), (listed(910, 4), 2_100)], Verdict::Leave(LeaveReason::AnswerLost) },
-    standing = { &[(listed(900, 3), 1_900), (listed(900, 3), 3_500)], Verdict::Leave(LeaveReason::Standing) },
-    not_standing_yet = { &[(listed(900, 3), 1_900), (listed(900, 3), 2_800)], Verdict::Wait },
+    stalled = { &[(listed(900, 3), 1_900), (listed(900, 3), 3_500)], Verdict::Leave(LeaveReason::Standing) },
+    not_stalled_yet = { &[(listed(900, 3), 1_900), (listed(900, 3), 2_800)], Verdict::Wait },
     fewer_events = { &[(listed(900, 3), 1_900), (listed(910, 1), 2_800)], Verdict::Wait },
     time_goes_back = { &[(listed(900, 3), 3_500), (listed(900, 3), 200)], Verdict::Wait },
 )]
-fn a_silent_run_is_judged_by_the_engine_state(looks: &[(RunStatus, u64)], last: Verdict) {
+fn a_silent_run_is_judged_by_the_engine_state(
+    observations: &[(RunStatus, u64)],
+    expected: Verdict,
+) {
     let mut silence = Silence::before_first_event(1_000, Some(8_000));
     let mut verdict = Verdict::Wait;
-    for (status, asked_ms) in looks {
+    for (status, asked_ms) in observations {
         verdict = silence.judge(*status, *asked_ms);
     }
-    assert_eq!(verdict, last);
+    assert_eq!(verdict, expected);
 }
 
 /// A run is listed from its first event on, in a state that may be some hundred milliseconds old.
 #[parameterized(
-    young = { RunStatus::MayWait, 300, false },
-    waits_again = { RunStatus::MayWait, 500, true },
+    recent = { RunStatus::MayWait, 300, false },
+    preempted = { RunStatus::MayWait, 500, true },
     runs = { listed(900, 3), 900, false },
-    untold = { RunStatus::Untold, 900, false },
+    not_reported = { RunStatus::Untold, 900, false },
     gone = { RunStatus::Missing, 900, false },
 )]
 fn a_run_that_is_no_longer_listed_was_preempted(status: RunStatus, age_ms: u64, expected: bool) {
@@ -244,9 +247,9 @@
 }
 
 #[parameterized(
-    patient = { 25_000, 2_500, 3_126 },
-    quick = { 2_500, 800, 833 },
-    hasty = { 1_000, 333, 333 },
+    long_deadline = { 25_000, 2_500, 3_126 },
+    short_deadline = { 2_500, 800, 833 },
+    very_short_deadline = { 1_000, 333, 333 },
     nothing_left = { 0, 0, 0 },
 )]
 fn a_starting_instance_gives_a_retry_time_that_callers_accept(
@@ -341,8 +344,8 @@
 #[test]
 fn engines_lost_before_the_outage_is_noticed_are_searched_for() {
     let mut search_list = SearchList::default();
-    search_list.note(["crashed".into(), "lapsed".into()], |_| true);
-    search_list.note([], |id| id != "lapsed");
+    search_list.update(["crashed".into(), "lapsed".into()], |_| true);
+    search_list.update([], |id| id != "lapsed");
     assert_eq!(
         search_list.next_round(),
         [Arc::from("crashed")],
@@ -353,12 +356,12 @@
 #[test]
 fn the_search_for_a_lost_engine_ends() {
     let mut search_list = SearchList::default();
-    search_list.note(["gone".into()], |_| true);
-    let mut looks = 0;
+    search_list.update(["gone".into()], |_| true);
+    let mut searches = 0;
     while !search_list.next_round().is_empty() {
-        looks += 1;
-        search_list.note([], |_| true);
-        assert!(looks < 100, "the search does not end");
+        searches += 1;
+        search_list.update([], |_| true);
+        assert!(searches < 100, "the search does not end");
     }
-    assert!(looks > 3, "too few searches: an engine takes over a second to return");
+    assert!(searches > 3, "too few searches: an engine takes over a second to return");
 }
