--- a/tests/gateway/suspicion.rs
+++ b/tests/gateway/suspicion.rs
@@ -307,8 +307,8 @@
 #[test]
 fn a_fingerprint_is_parsed_from_its_text() {
     let fingerprint = request("any");
-    assert_eq!(Fingerprint::read(&fingerprint.to_string()), Some(fingerprint));
-    assert_eq!(Fingerprint::read("no fingerprint"), None);
+    assert_eq!(Fingerprint::parse(&fingerprint.to_string()), Some(fingerprint));
+    assert_eq!(Fingerprint::parse("no fingerprint"), None);
 }
 
 /// The fingerprint includes the organisation and the boundaries between the parts of a request.
