--- a/src/gateway/policy/coincidence.rs
+++ b/src/gateway/policy/coincidence.rs
@@ -31,7 +31,7 @@
 struct End {
     upstream: Upstream,
     at_ms: u64,
-    /// Requests whose runs had just begun there, as far as instances reported them.
+    /// Requests whose runs had just started there, as far as instances reported them.
     requests: BTreeSet<Fingerprint>,
 }
 
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Records that an upstream ended under a run that had just begun. Returns whether this was
+    /// Records that an upstream ended under a run that had just started. Returns whether this was
     /// unknown.
     pub fn note_under_request(
         &mut self,
