--- a/src/gateway/control.rs
+++ b/src/gateway/control.rs
@@ -1,22 +1,24 @@
-//! The control thread: it keeps the configuration, the list of upstreams and the peers new, and
-//! publishes what traffic reads.
+//! The control thread: keeps the configuration, the upstream list and the peer membership up to date, and
+//! publishes snapshots of them for request handling.
 //!
-//! Its controllers share one blackboard. `directory` follows the directory and keeps the registration;
-//! `exchange` keeps the membership and exchanges loads with peers; `changes` tells peers what is newer, and
-//! `knowledge` fetches it from them; `shares` says how much of the large services is held here; `duties`
-//! does what one instance at a time may do; `permits`, `signals`, `quarantine` and `successors` each keep
-//! what upstreams or requests have caused.
+//! Its tasks share one state. `directory` watches the directory and maintains the registration there;
+//! `exchange` runs the membership protocol and exchanges load updates with peers; `changes` pushes newer
+//! configurations and upstreams to peers, and `fetch` fetches them from peers; `shares` decides how many
+//! upstreams of large services this instance holds; `duties` runs the tasks that only one instance may run
+//! at a time; `permits` enforces the rate limits that upstreams announce; `signals` distributes what
+//! upstreams announce in their answers; `quarantine` tracks requests that crash upstreams; `rediscovery`
+//! searches for restarted engines while the directory is unreachable.
 
 mod changes;
 mod directory;
 mod duties;
 mod exchange;
-pub mod knowledge;
+pub mod fetch;
 mod permits;
 mod quarantine;
+mod rediscovery;
 mod shares;
 mod signals;
-mod successors;
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, VecDeque};
@@ -28,7 +30,7 @@
 use tokio::net::UdpSocket;
 use tokio::sync::{Notify, oneshot};
 
-use self::shares::Guest;
+use self::shares::TemporaryUpstream;
 use super::dialect::Dialect;
 use super::directory::Directory;
 use super::fleet::Fleet;
@@ -52,114 +54,123 @@
 use super::view::{Front, Shared, View};
 use crate::clock::Clock;
 
-/// How often at the most traffic gets a new picture: peers' news come in bursts.
-const PUBLISH_MS: u64 = 10;
-/// How long a loss that a peer told counts: the list of upstreams drops what is gone within this
-/// time.
-const LOST_TOLD_MS: u64 = 4_000;
+/// The minimum interval between two published snapshots: updates from peers arrive in bursts.
+const MIN_PUBLISH_INTERVAL_MS: u64 = 10;
+/// How long the loss of an upstream is remembered: within this time the upstream list drops those that are
+/// really gone.
+const LOSS_TTL_MS: u64 = 4_000;
 
-/// What all controllers read and write.
-struct Board {
+/// The state that all tasks of the control thread share.
+struct ControlState {
     config: Option<Arc<Config>>,
     fleet: Fleet,
-    /// Engines that the silent directory does not list yet.
-    found: Rediscovered,
+    /// Restarted engines that were found at their addresses while the directory was unreachable, and that it
+    /// does not list yet.
+    rediscovered: Rediscovered,
     has_fleet: bool,
     membership: Membership,
     loads: Loads,
     /// Requests that crash upstreams.
     quarantine: Quarantine,
-    /// The version of it that traffic has.
-    quarantine_version: u64,
-    /// The token buckets that this instance owns, for all.
+    /// The version of `quarantine` in the published snapshot.
+    published_quarantine_version: u64,
+    /// The token buckets of which this instance is the owner for the whole fleet.
     limiter: Limiter,
-    /// The rates that upstreams named to any instance.
-    named_rates: AdvertisedRates,
-    /// Upstreams that said to any instance that they leave.
+    /// The rate limits that upstreams announced to any instance.
+    advertised_rates: AdvertisedRates,
+    /// Upstreams that announced to any instance that they are shutting down.
     departures: Departures,
-    /// Requests of this instance for permits that others have not answered yet.
-    permits: BTreeMap<u64, oneshot::Sender<Permit>>,
-    /// The number of the last such request.
-    permit_number: u64,
-    /// Other instances that hear from the directory.
-    first_hand: usize,
-    /// Upstreams that any instance lost, with the time until which that counts.
+    /// Permit requests to other instances that are not answered yet, by number.
+    pending_permits: BTreeMap<u64, oneshot::Sender<Permit>>,
+    /// The number of the last permit request.
+    last_permit_number: u64,
+    /// How many other instances have a working directory watch.
+    watching_peers: usize,
+    /// Upstreams that any instance recently lost, with the time until which each loss is remembered.
     lost: BTreeMap<Arc<str>, u64>,
-    /// The instances that callers are sent to.
+    /// The instances that accept callers.
     fronts: Arc<Vec<Front>>,
-    /// The phase of this instance as of when they were worked out.
+    /// The phase of this instance when `fronts` was computed.
     fronts_phase: Phase,
-    /// The others of this failure domain that place requests, also while they start or stop.
-    placing_near: Vec<SocketAddr>,
-    /// Whether this instance is one of those.
-    is_placing: bool,
+    /// The other instances of this failure domain that route requests, including those that are starting or
+    /// stopping.
+    routing_peers: Vec<SocketAddr>,
+    /// Whether this instance routes requests.
+    is_routing: bool,
     phase: Phase,
     is_directory_lost: bool,
     /// When the directory last answered.
-    answered_ms: u64,
-    lease: Option<u64>,
+    directory_answered_ms: u64,
+    /// The directory's lease on this instance's registration.
+    registration_lease: Option<u64>,
+    /// Whether this instance is one of those that watch the directory, also while it does not answer.
     is_watching: bool,
-    /// Peers heard of changes while this instance did not: the outage was its own.
-    is_outage_own: bool,
-    messages: u64,
-    told: Told,
-    /// Whether the last whole message on the traffic here said that there is none.
-    has_told_nothing: bool,
-    /// What peers were told that this instance knows.
-    told_versions: Versions,
-    /// The revisions of the list that were pushed last.
-    pushed: VecDeque<u64>,
-    /// What is new came from the directory, so that others don't have it yet.
-    is_first_to_tell: bool,
+    /// Whether peers received changes while the directory did not answer this instance: then only this
+    /// instance was cut off.
+    is_outage_local: bool,
+    /// The sequence number of the last load update.
+    load_sequence: u64,
+    /// The load that was last reported to peers.
+    reported_load: Told,
+    /// Whether the last full load update reported no load at all.
+    has_reported_no_load: bool,
+    /// The versions that were last announced to peers.
+    announced_versions: Versions,
+    /// The upstream list revisions of the last pushes.
+    pushed_revisions: VecDeque<u64>,
+    /// Whether the newest versions came from the directory, so that other failure domains may lack them.
+    is_update_from_directory: bool,
+    /// Since when a peer is known to have newer versions.
     behind_since_ms: Option<u64>,
     is_fetching_config: bool,
     is_fetching_list: bool,
-    /// Until when no list is fetched, after a fetch that brought nothing.
-    list_retry_ms: u64,
-    /// Instances that hold the whole list, as others told.
-    list_holders_told: VecDeque<SocketAddr>,
-    /// What `fleet` holds.
-    part: Part,
-    /// Whether more changed in that than went into a message.
-    is_behind: bool,
-    /// The share of the large services that is to be fetched.
+    /// The earliest time of the next list fetch, after a failed one.
+    next_list_fetch_ms: u64,
+    /// Instances that hold the full upstream list, as reported by peers.
+    reported_list_holders: VecDeque<SocketAddr>,
+    /// Which part of the upstream list `fleet` holds.
+    held_part: Part,
+    /// Whether a peer had more changes of that part than fit into a message.
+    has_missed_changes: bool,
+    /// The share of the large services to fetch, if it differs from the share held.
     wanted_share: Option<Share>,
-    /// Until when this instance holds more of them than its rank asks for.
-    wide_until_ms: u64,
-    /// Since when it has no reason to hold all of them.
-    narrows_since_ms: Option<u64>,
-    /// Since when too few instances hear from the directory.
-    few_watch_since_ms: Option<u64>,
-    /// Upstreams of large services that traffic knows for a moment although this instance doesn't hold them.
-    guests: BTreeMap<Arc<str>, Guest>,
-    /// Grows with each of them.
-    guest_changes: u64,
-    /// What traffic's list was made from.
+    /// Until when this instance does not narrow its share, after it ran out of upstreams.
+    widened_until_ms: u64,
+    /// Since when this instance's rank does not require it to hold all upstreams.
+    can_narrow_since_ms: Option<u64>,
+    /// Since when too few instances have a working directory watch.
+    too_few_watchers_since_ms: Option<u64>,
+    /// Upstreams outside this instance's share that were looked up for a request, published for a short time.
+    temporary_upstreams: BTreeMap<Arc<str>, TemporaryUpstream>,
+    /// Counts the changes of `temporary_upstreams`.
+    temporary_upstream_changes: u64,
+    /// The inputs of the published upstream list.
     published: Option<Published>,
-    /// The share that suits the fleet, and of which changes and how many members that holds.
-    suitable: Option<((u64, usize), Share)>,
-    /// The lease of the duties that one instance at a time has.
+    /// The suitable share of the large services, cached with its inputs: the change count of `fleet` and the
+    /// number of live peers.
+    cached_suitable_share: Option<((u64, usize), Share)>,
+    /// The lease on the duties that only one instance may run at a time.
     duty_lease: DutyLease,
-    /// Who holds it, as the directory last said.
+    /// The holder of that lease, as last read from the directory.
     duty_holder: Option<Holder>,
-    /// What this instance counts for the report of usage.
-    counter: Counter,
-    /// What all counted, if this instance may have to report it.
+    /// The requests that this instance counts for the usage report.
+    usage_counter: Counter,
+    /// The counts of all instances, in case this one has to report them.
     usage: Usage,
-    /// The last window that this instance reported.
+    /// The last usage window that this instance reported.
     reported_window: Option<u64>,
 }
 
-/// What a list for traffic was made from; a list that is made from the same is the same.
+/// The inputs of a published upstream list; equal inputs give equal lists.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Published {
     fleet: u64,
-    found: u64,
-    guests: (u64, usize),
+    rediscovered: u64,
+    temporary_upstreams: (u64, usize),
     share: Share,
 }
 
-/// The control thread's state.
+/// The control thread.
 pub struct Control {
     settings: Settings,
     me: Registration,
@@ -169,22 +180,23 @@
     metrics: Arc<Metrics>,
     clock: Clock,
     log: slog::Logger,
-    board: RefCell<Board>,
-    /// Ends a watch that peers have overtaken.
-    broken_watch: Notify,
-    /// Has a watch ask at once whether the directory still answers, since it doesn't answer another.
-    doubted_directory: Notify,
-    /// Asks for a new picture for traffic.
+    state: RefCell<ControlState>,
+    /// Restarts a directory watch that lags behind peers.
+    watch_restart: Notify,
+    /// Makes the directory watch check at once whether the directory still answers, since it stopped
+    /// answering another instance.
+    directory_check: Notify,
+    /// Requests that a new snapshot be published.
     dirty: Notify,
-    /// Tells that there are rumors.
+    /// Signals that rumors wait to be sent.
     rumors: Notify,
-    /// Tells that this instance knows a newer configuration or list.
-    newer: Notify,
+    /// Signals that this instance has a newer configuration or upstream list to announce.
+    newer_versions: Notify,
     socket: RefCell<Option<Rc<UdpSocket>>>,
 }
 
 impl Control {
-    /// A thread that knows nothing yet.
+    /// Creates the control thread's state, without configuration and upstreams.
     pub fn new(
         settings: Settings,
         directory: Box<dyn Directory>,
@@ -203,63 +215,63 @@
         };
         let contacts = settings.seeds.clone();
         let window_ms = settings.repeat_window_ms;
-        let lease_ms = directory.duties().map_or(0, |duties| duties.terms().lease_ms);
-        let board = Board {
+        let lease_ms = directory.duties().map_or(0, |duties| duties.duty_settings().lease_ms);
+        let state = ControlState {
             config: None,
             fleet: Fleet::default(),
-            found: Rediscovered::default(),
+            rediscovered: Rediscovered::default(),
             has_fleet: false,
             membership: Membership::new(me.clone(), settings.link_mbps, &contacts, start_version()),
             loads: Loads::new(Arc::clone(&settings.domain), window_ms),
             quarantine: Quarantine::default(),
-            quarantine_version: 0,
+            published_quarantine_version: 0,
             limiter: Limiter::default(),
-            named_rates: AdvertisedRates::default(),
+            advertised_rates: AdvertisedRates::default(),
             departures: Departures::default(),
-            permits: BTreeMap::new(),
-            permit_number: 0,
-            first_hand: 0,
+            pending_permits: BTreeMap::new(),
+            last_permit_number: 0,
+            watching_peers: 0,
             lost: BTreeMap::new(),
             fronts: Arc::default(),
             fronts_phase: Phase::Starting,
-            placing_near: Vec::new(),
-            is_placing: true,
+            routing_peers: Vec::new(),
+            is_routing: true,
             phase: Phase::Starting,
             is_directory_lost: false,
-            answered_ms: 0,
-            lease: None,
+            directory_answered_ms: 0,
+            registration_lease: None,
             is_watching: false,
-            is_outage_own: false,
-            messages: 0,
-            told: Told::default(),
-            has_told_nothing: false,
-            told_versions: Versions::default(),
-            pushed: VecDeque::new(),
-            is_first_to_tell: false,
+            is_outage_local: false,
+            load_sequence: 0,
+            reported_load: Told::default(),
+            has_reported_no_load: false,
+            announced_versions: Versions::default(),
+            pushed_revisions: VecDeque::new(),
+            is_update_from_directory: false,
             behind_since_ms: None,
             is_fetching_config: false,
             is_fetching_list: false,
-            list_retry_ms: 0,
-            list_holders_told: VecDeque::new(),
-            part: shares::everything(),
-            is_behind: false,
+            next_list_fetch_ms: 0,
+            reported_list_holders: VecDeque::new(),
+            held_part: shares::full_part(),
+            has_missed_changes: false,
             wanted_share: None,
-            wide_until_ms: 0,
-            narrows_since_ms: None,
-            few_watch_since_ms: None,
-            guests: BTreeMap::new(),
-            guest_changes: 0,
+            widened_until_ms: 0,
+            can_narrow_since_ms: None,
+            too_few_watchers_since_ms: None,
+            temporary_upstreams: BTreeMap::new(),
+            temporary_upstream_changes: 0,
             published: None,
-            suitable: None,
+            cached_suitable_share: None,
             duty_lease: DutyLease::new(lease_ms),
             duty_holder: None,
-            counter: Counter::default(),
+            usage_counter: Counter::default(),
             usage: Usage::default(),
             reported_window: None,
         };
-        let board = RefCell::new(board);
-        let broken_watch = Notify::new();
-        let doubted_directory = Notify::new();
+        let state = RefCell::new(state);
+        let watch_restart = Notify::new();
+        let directory_check = Notify::new();
         let dirty = Notify::new();
         Rc::new(Control {
             settings,
@@ -270,119 +282,119 @@
             metrics,
             clock,
             log,
-            board,
-            broken_watch,
-            doubted_directory,
+            state,
+            watch_restart,
+            directory_check,
             dirty,
             rumors: Notify::new(),
-            newer: Notify::new(),
+            newer_versions: Notify::new(),
             socket: RefCell::new(None),
         })
     }
 
-    /// Starts all controllers on the current local set.
+    /// Starts all control tasks on the current local set.
     pub fn start(self: &Rc<Control>, socket: UdpSocket) {
         let socket = Rc::new(socket);
         *self.socket.borrow_mut() = Some(Rc::clone(&socket));
-        tokio::task::spawn_local(Rc::clone(self).follow_directory());
-        tokio::task::spawn_local(Rc::clone(self).keep_registration());
-        tokio::task::spawn_local(Rc::clone(self).hear_peers(socket));
-        tokio::task::spawn_local(Rc::clone(self).observe_peers());
+        tokio::task::spawn_local(Rc::clone(self).watch_directory());
+        tokio::task::spawn_local(Rc::clone(self).maintain_registration());
+        tokio::task::spawn_local(Rc::clone(self).receive_messages(socket));
+        tokio::task::spawn_local(Rc::clone(self).run_probe_rounds());
         tokio::task::spawn_local(Rc::clone(self).gossip());
-        tokio::task::spawn_local(Rc::clone(self).tell_loads());
-        tokio::task::spawn_local(Rc::clone(self).tell_digests());
-        tokio::task::spawn_local(Rc::clone(self).tell_newer());
-        tokio::task::spawn_local(Rc::clone(self).ask_changes());
-        tokio::task::spawn_local(Rc::clone(self).seek_successors());
-        tokio::task::spawn_local(Rc::clone(self).keep_quarantine());
-        tokio::task::spawn_local(Rc::clone(self).keep_signals());
-        tokio::task::spawn_local(Rc::clone(self).tell_usage());
-        tokio::task::spawn_local(Rc::clone(self).keep_duties());
-        tokio::task::spawn_local(Rc::clone(self).publish_changes());
+        tokio::task::spawn_local(Rc::clone(self).send_load_updates());
+        tokio::task::spawn_local(Rc::clone(self).send_digests());
+        tokio::task::spawn_local(Rc::clone(self).announce_versions());
+        tokio::task::spawn_local(Rc::clone(self).request_missed_changes());
+        tokio::task::spawn_local(Rc::clone(self).search_for_engines());
+        tokio::task::spawn_local(Rc::clone(self).maintain_quarantine());
+        tokio::task::spawn_local(Rc::clone(self).process_signals());
+        tokio::task::spawn_local(Rc::clone(self).send_usage());
+        tokio::task::spawn_local(Rc::clone(self).run_duties());
+        tokio::task::spawn_local(Rc::clone(self).publish_when_dirty());
     }
 
-    /// Begins a planned stop: peers leave this instance out of their answers at once.
+    /// Begins a planned stop: peers stop naming this instance to callers at once.
     pub fn stop(&self) {
-        self.board.borrow_mut().phase = Phase::Stopping;
+        self.state.borrow_mut().phase = Phase::Stopping;
         self.publish();
     }
 
-    /// Tells peers that this instance ends now, so that they need not find out.
+    /// Announces to peers that this instance exits now, so that they need not detect it.
     pub fn leave(&self) {
-        self.board.borrow_mut().membership.leave(&mut fastrand::Rng::new());
+        self.state.borrow_mut().membership.leave(&mut fastrand::Rng::new());
         self.flush();
     }
 
-    /// Removes the registration.
-    pub async fn release(&self) {
-        let lease = self.board.borrow_mut().lease.take();
+    /// Removes this instance's registration from the directory.
+    pub async fn remove_registration(&self) {
+        let lease = self.state.borrow_mut().registration_lease.take();
         if let Some(lease) = lease
             && let Err(fault) = self.directory.release(lease).await
         {
-            slog::info!(self.log, "registration not removed; it ends with its lease";
+            slog::info!(self.log, "could not remove the registration; it expires with its lease";
                 "detail" => %fault);
         }
     }
 
-    /// Takes on a configuration that is newer than the one in force; it never goes back.
-    fn take_config(&self, config: Arc<Config>, from: &str) {
-        let mut board = self.board.borrow_mut();
-        let known = board.config.as_ref().map_or(0, |known| known.version);
+    /// Puts a configuration into force if it is newer than the current one; versions never go back.
+    fn apply_config(&self, config: Arc<Config>, from: &str) {
+        let mut state = self.state.borrow_mut();
+        let known = state.config.as_ref().map_or(0, |known| known.version);
         if config.version <= known {
             return;
         }
         slog::info!(self.log, "configuration in force"; "version" => config.version,
             "before" => known, "from" => from, "routes" => config.routes.len());
-        board.config = Some(config);
+        state.config = Some(config);
     }
 
     fn publish(&self) {
         let now_ms = self.clock.now_ms();
-        let mut board = self.board.borrow_mut();
-        let is_complete = board.config.is_some() && board.has_fleet;
-        if board.phase == Phase::Starting && is_complete {
-            board.phase = Phase::Ready;
+        let mut state = self.state.borrow_mut();
+        let is_complete = state.config.is_some() && state.has_fleet;
+        if state.phase == Phase::Starting && is_complete {
+            state.phase = Phase::Ready;
             slog::info!(self.log, "ready"; "since_start_ms" => now_ms);
         }
-        let phase = board.phase;
-        let versions = Control::versions(&board);
-        let is_first_hand = Control::is_first_hand(&board);
-        let share = board.part.share;
-        board.membership.set_me(phase, is_first_hand, share, versions);
-        self.note_members(&mut board);
-        board.lost.retain(|_, until_ms| *until_ms > now_ms);
+        let phase = state.phase;
+        let versions = Control::versions(&state);
+        let has_working_watch = Control::has_working_watch(&state);
+        let share = state.held_part.share;
+        state.membership.set_me(phase, has_working_watch, share, versions);
+        self.apply_member_changes(&mut state);
+        state.lost.retain(|_, until_ms| *until_ms > now_ms);
         let before = self.shared.view.load();
-        let share = Control::traffic_share(&mut board);
-        let fleet = self.traffic_list(&mut board, share, &before.fleet);
-        let version = board.quarantine.version();
-        let is_quarantine_new = version != board.quarantine_version;
+        let share = Control::published_share(&mut state);
+        let fleet = self.published_list(&mut state, share, &before.fleet);
+        let version = state.quarantine.version();
+        let is_quarantine_new = version != state.published_quarantine_version;
         let quarantine = if is_quarantine_new {
-            Arc::new(board.quarantine.suspects())
+            Arc::new(state.quarantine.suspects())
         } else {
             Arc::clone(&before.quarantine)
         };
-        board.quarantine_version = version;
+        state.published_quarantine_version = version;
         let view = View {
-            config: board.config.clone(),
+            config: state.config.clone(),
             fleet,
-            phase: board.phase,
-            is_directory_silent: board.is_directory_lost,
-            fronts: Arc::clone(&board.fronts),
-            instances: board.membership.alive().count() as u32 + 1,
+            phase: state.phase,
+            is_directory_silent: state.is_directory_lost,
+            fronts: Arc::clone(&state.fronts),
+            instances: state.membership.alive().count() as u32 + 1,
             share,
-            large: board.part.large.clone(),
-            others: board.loads.held(),
-            sent: Arc::new(board.loads.sent(now_ms)),
-            lost: Arc::new(board.lost.keys().cloned().collect()),
-            places: board.loads.places(),
+            large: state.held_part.large.clone(),
+            others: state.loads.held(),
+            sent: Arc::new(state.loads.sent(now_ms)),
+            lost: Arc::new(state.lost.keys().cloned().collect()),
+            places: state.loads.places(),
             quarantine,
-            named_rates: board.named_rates.clone(),
-            departures: board.departures.clone(),
+            named_rates: state.advertised_rates.clone(),
+            departures: state.departures.clone(),
         };
         drop(before);
-        let has_rumors = board.membership.has_rumors();
-        let has_newer = versions != board.told_versions;
-        drop(board);
+        let has_rumors = state.membership.has_rumors();
+        let has_newer = versions != state.announced_versions;
+        drop(state);
         self.shared.view.store(Arc::new(view));
         if is_quarantine_new {
             self.shared.quarantined.send_replace(version);
@@ -394,81 +406,90 @@
             self.rumors.notify_one();
         }
         if has_newer {
-            self.newer.notify_one();
+            self.newer_versions.notify_one();
         }
     }
 
-    /// The share of the large services that traffic uses, also where this instance holds all for others.
-    /// It takes a look at all upstreams, so it is kept until they or the members change.
-    fn traffic_share(board: &mut Board) -> Share {
-        if !board.part.share.is_all() || board.part.large.is_empty() {
-            return board.part.share;
+    /// The share of the large services that request handling uses, also on an instance that holds all
+    /// upstreams on behalf of others. It is computed from all upstreams, so it is cached until they or the
+    /// members change.
+    fn published_share(state: &mut ControlState) -> Share {
+        if !state.held_part.share.is_all() || state.held_part.large.is_empty() {
+            return state.held_part.share;
         }
-        let made_from = (board.fleet.changes(), board.membership.alive().count());
-        match board.suitable {
-            Some((from, share)) if from == made_from => share,
+        let inputs = (state.fleet.changes(), state.membership.alive().count());
+        match state.cached_suitable_share {
+            Some((from, share)) if from == inputs => share,
             _ => {
-                let share = Control::suitable_share(board);
-                board.suitable = Some((made_from, share));
+                let share = Control::suitable_share(state);
+                state.cached_suitable_share = Some((inputs, share));
                 share
             }
         }
     }
 
-    /// The list of upstreams for traffic, which is made anew only if something changed.
-    fn traffic_list(&self, board: &mut Board, share: Share, before: &Arc<Fleet>) -> Arc<Fleet> {
+    /// The upstream list for request handling, rebuilt only if one of its inputs changed.
+    fn published_list(
+        &self,
+        state: &mut ControlState,
+        share: Share,
+        before: &Arc<Fleet>,
+    ) -> Arc<Fleet> {
         let published = Published {
-            fleet: board.fleet.changes(),
-            found: board.found.changes(),
-            guests: (board.guest_changes, board.guests.len()),
+            fleet: state.fleet.changes(),
+            rediscovered: state.rediscovered.changes(),
+            temporary_upstreams: (
+                state.temporary_upstream_changes,
+                state.temporary_upstreams.len(),
+            ),
             share,
         };
-        if board.published.replace(published) == Some(published) {
+        if state.published.replace(published) == Some(published) {
             return Arc::clone(before);
         }
-        let mut upstreams = board.found.merge(&board.fleet.upstreams).into_owned();
+        let mut upstreams = state.rediscovered.merge(&state.fleet.upstreams).into_owned();
         if !share.is_all() {
-            let holds = shares::holds(&self.me.id, &Part { share, ..board.part.clone() });
+            let holds = shares::holds(&self.me.id, &Part { share, ..state.held_part.clone() });
             upstreams.retain(|id, upstream| holds(id, &upstream.service));
         }
-        for Guest { upstream, .. } in board.guests.values() {
+        for TemporaryUpstream { upstream, .. } in state.temporary_upstreams.values() {
             upstreams.entry(Arc::clone(&upstream.id)).or_insert_with(|| upstream.clone());
         }
         if before.upstreams == upstreams {
             return Arc::clone(before);
         }
-        Arc::new(Fleet::of(board.fleet.revision, upstreams))
+        Arc::new(Fleet::of(state.fleet.revision, upstreams))
     }
 
-    /// Follows what changed among the members: who takes callers, and whose load has ended.
-    fn note_members(&self, board: &mut Board) {
+    /// Applies membership changes: drops the load of dead peers, and updates which instances accept callers.
+    fn apply_member_changes(&self, state: &mut ControlState) {
         let now_ms = self.clock.now_ms();
-        let changed = board.membership.take_changed();
+        let changed = state.membership.take_changed();
         for id in &changed {
-            let Some(member) = board.membership.get(id) else { continue };
+            let Some(member) = state.membership.get(id) else { continue };
             if member.standing == Standing::Dead {
                 slog::info!(self.log, "peer gone"; "peer" => &**id,
                     "version" => member.card.version);
                 self.metrics.count("peers_gone");
-                board.loads.remove(id, now_ms);
+                state.loads.remove(id, now_ms);
             }
         }
-        self.doubt_directory(board);
-        let has_own = board.fronts_phase == board.phase;
-        if changed.is_empty() && has_own {
+        self.check_directory_if_suspected(state);
+        let is_phase_unchanged = state.fronts_phase == state.phase;
+        if changed.is_empty() && is_phase_unchanged {
             return;
         }
-        board.fronts_phase = board.phase;
-        self.note_fronts(board);
+        state.fronts_phase = state.phase;
+        self.update_fronts(state);
     }
 
-    /// Works out where callers are sent, and who hears of loads here.
-    fn note_fronts(&self, board: &mut Board) {
-        let me = board.membership.my_card();
-        let ready = board.membership.alive().filter(|member| member.standing == Standing::Alive);
+    /// Computes which instances accept callers, and which peers receive this instance's load updates.
+    fn update_fronts(&self, state: &mut ControlState) {
+        let me = state.membership.my_card();
+        let ready = state.membership.alive().filter(|member| member.standing == Standing::Alive);
         let ready = ready.map(|member| &member.card).filter(|card| card.phase == Phase::Ready);
         let mut domains: BTreeMap<&str, Vec<(Rank, &Registration)>> = BTreeMap::new();
-        for card in ready.chain((board.phase == Phase::Ready).then_some(me)) {
+        for card in ready.chain((state.phase == Phase::Ready).then_some(me)) {
             let ranked = (card.rank(), &card.registration);
             domains.entry(&card.registration.domain).or_default().push(ranked);
         }
@@ -479,75 +500,78 @@
             domain: Arc::clone(&registration.domain),
         };
         let fronts = active.map(front).collect();
-        let near = board.membership.alive().map(|member| &member.card).chain([me]);
-        let near = near.filter(|card| card.registration.domain == self.me.domain);
-        let placing = active::active_instances(near.map(|card| (card.rank(), &card.registration)));
-        let is_placing = placing.iter().any(|registration| registration.id == self.me.id);
-        let others = placing.into_iter().filter(|registration| registration.id != self.me.id);
-        let placing_near = others.map(|registration| registration.peer_addr).collect();
-        board.fronts = Arc::new(fronts);
-        board.is_placing = is_placing;
-        board.placing_near = placing_near;
+        let same_domain = state.membership.alive().map(|member| &member.card).chain([me]);
+        let same_domain = same_domain.filter(|card| card.registration.domain == self.me.domain);
+        let routing =
+            active::active_instances(same_domain.map(|card| (card.rank(), &card.registration)));
+        let is_routing = routing.iter().any(|registration| registration.id == self.me.id);
+        let others = routing.into_iter().filter(|registration| registration.id != self.me.id);
+        let routing_peers = others.map(|registration| registration.peer_addr).collect();
+        state.fronts = Arc::new(fronts);
+        state.is_routing = is_routing;
+        state.routing_peers = routing_peers;
     }
 
-    /// Has this instance's own watch checked if another one has lost the directory: a watch waits for
-    /// seconds, and as long as one instance takes the directory for heard, nobody looks for engines
-    /// that it doesn't list.
-    fn doubt_directory(&self, board: &mut Board) {
-        let first_hand =
-            board.membership.alive().filter(|member| member.card.is_first_hand).count();
-        let before = std::mem::replace(&mut board.first_hand, first_hand);
-        if watchers::doubts(before, first_hand) && Control::is_first_hand(board) {
-            self.doubted_directory.notify_one();
+    /// Checks this instance's own directory watch if another instance has lost the directory: a watch waits
+    /// for seconds, and as long as one instance believes that its watch works, nobody searches for engines
+    /// that the directory does not list.
+    fn check_directory_if_suspected(&self, state: &mut ControlState) {
+        let watching_peers =
+            state.membership.alive().filter(|member| member.card.is_first_hand).count();
+        let before = std::mem::replace(&mut state.watching_peers, watching_peers);
+        if watchers::should_check_directory(before, watching_peers)
+            && Control::has_working_watch(state)
+        {
+            self.directory_check.notify_one();
         }
     }
 
-    /// Publishes what changed, after a moment in which more may come.
-    async fn publish_changes(self: Rc<Control>) {
+    /// Publishes a new snapshot after changes, at a limited rate so that bursts are combined.
+    async fn publish_when_dirty(self: Rc<Control>) {
         loop {
             self.dirty.notified().await;
             self.publish();
-            tokio::time::sleep(Duration::from_millis(PUBLISH_MS)).await;
+            tokio::time::sleep(Duration::from_millis(MIN_PUBLISH_INTERVAL_MS)).await;
         }
     }
 
-    /// What this instance knows, and how old it may be.
-    fn note_gauges(&self, now_ms: u64) {
-        let board = self.board.borrow();
-        let versions = Control::versions(&board);
+    /// Records gauges of the versions, sizes and age of the state.
+    fn record_gauges(&self, now_ms: u64) {
+        let state = self.state.borrow();
+        let versions = Control::versions(&state);
         self.metrics.gauge("config_version", versions.config);
         self.metrics.gauge("list_revision", versions.fleet);
-        self.metrics.gauge("upstreams", board.fleet.upstreams.len() as u64);
-        self.metrics.gauge("large_services", board.part.large.len() as u64);
-        self.metrics.gauge("share_halvings", u64::from(board.part.share.halvings()));
-        self.metrics.gauge("peers", board.membership.alive().count() as u64);
-        let is_first_hand = Control::is_first_hand(&board);
-        self.metrics.gauge("is_watching_directory", u64::from(is_first_hand));
-        let age_ms = now_ms.saturating_sub(board.answered_ms);
+        self.metrics.gauge("upstreams", state.fleet.upstreams.len() as u64);
+        self.metrics.gauge("large_services", state.held_part.large.len() as u64);
+        self.metrics.gauge("share_halvings", u64::from(state.held_part.share.halvings()));
+        self.metrics.gauge("peers", state.membership.alive().count() as u64);
+        let has_working_watch = Control::has_working_watch(&state);
+        self.metrics.gauge("is_watching_directory", u64::from(has_working_watch));
+        let age_ms = now_ms.saturating_sub(state.directory_answered_ms);
         self.metrics.gauge("directory_answer_age_ms", age_ms);
     }
 
-    /// Whether this instance or a peer hears from the directory.
-    fn is_directory_heard(board: &Board) -> bool {
-        let mut alive = board.membership.alive();
-        Control::is_first_hand(board) || alive.any(|member| member.card.is_first_hand)
+    /// Whether this instance or a live peer has a working directory watch.
+    fn is_directory_reachable(state: &ControlState) -> bool {
+        let mut alive = state.membership.alive();
+        Control::has_working_watch(state) || alive.any(|member| member.card.is_first_hand)
     }
 
-    /// Whether the directory answers this instance, so that it hears of changes by itself.
-    fn is_first_hand(board: &Board) -> bool {
-        board.is_watching && !board.is_directory_lost
+    /// Whether this instance watches the directory and the directory answers it.
+    fn has_working_watch(state: &ControlState) -> bool {
+        state.is_watching && !state.is_directory_lost
     }
 
-    fn versions(board: &Board) -> Versions {
+    fn versions(state: &ControlState) -> Versions {
         Versions {
-            config: board.config.as_ref().map_or(0, |config| config.version),
-            fleet: if board.has_fleet { board.fleet.revision } else { 0 },
+            config: state.config.as_ref().map_or(0, |config| config.version),
+            fleet: if state.has_fleet { state.fleet.revision } else { 0 },
         }
     }
 }
 
-/// The first version of what an instance says of itself: the time of day, which is later than at its
-/// last start. If it isn't, since clocks are set back, its peers' answers raise it.
+/// The initial version of an instance's membership entry: the wall clock time, which is later than at its
+/// previous start. If the clock was set back, the peers' answers raise the version.
 fn start_version() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map_or(1, |since| since.as_millis() as u64)
--- a/src/gateway/control/directory.rs
+++ b/src/gateway/control/directory.rs
@@ -1,4 +1,4 @@
-//! The controller that follows the directory and keeps the registration there.
+//! Watches the directory for changes, and maintains this instance's registration there.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -11,49 +11,49 @@
 use super::super::metrics::Time;
 use super::super::policy::lease::Holder;
 use super::super::policy::subset::Share;
-use super::super::policy::watchers::{self, Turn};
-use super::{Board, Control};
+use super::super::policy::watchers::{self, WatchPosition};
+use super::{Control, ControlState};
 
-/// The wait after a call that failed; doubled up to the longest.
-const RETRY_MS: u64 = 150;
-/// The longest wait after calls that failed: the directory's return should be noticed within
-/// half a second.
-const RETRY_MOST_MS: u64 = 500;
-/// How long a registration outlives its last renewal.
-const LEASE_MS: u64 = 30_000;
-/// The pause between renewals, a third of the lease.
-const RENEW_MS: u64 = 10_000;
-/// The longest pause after a renewal that failed: three more are made before the lease ends.
-const REGISTER_RETRY_MOST_MS: u64 = 5_000;
-/// How long an instance that starts asks seeds: one that starts at the same time knows everything
-/// within a few round trips.
-const START_MS: u64 = 400;
-/// The first pause between two questions, doubled each time.
-const FIRST_PAUSE_MS: u64 = 20;
+/// The pause after a first failed call; doubled with each further failure up to the maximum.
+const MIN_RETRY_MS: u64 = 150;
+/// The maximum pause after failed calls: the return of the directory should be noticed within half a second.
+const MAX_RETRY_MS: u64 = 500;
+/// The time to live of a registration after its last renewal.
+const REGISTRATION_TTL_MS: u64 = 30_000;
+/// The interval between renewals, a third of the time to live.
+const RENEW_INTERVAL_MS: u64 = 10_000;
+/// The maximum pause after a failed renewal: short enough for three more attempts before the lease ends.
+const MAX_REGISTER_RETRY_MS: u64 = 5_000;
+/// How long a starting instance asks seeds at least: a seed that starts at the same time has the
+/// configuration and the upstream list within a few round trips.
+const MIN_SEED_PHASE_MS: u64 = 400;
+/// The first pause between two requests to seeds, doubled each time.
+const MIN_SEED_PAUSE_MS: u64 = 20;
 /// The pause after which a seed is asked for the last time.
-const LAST_PAUSE_MS: u64 = 160;
-/// Within which time those that heard nothing ask the directory, not all at once.
-const START_SPREAD_MS: u64 = 600;
-/// How often an instance looks whether it should watch the directory.
-const WATCH_LOOK_MS: u64 = 250;
-/// How long a watch waits that only asks whether the directory still answers.
-const CHECK_WAIT_MS: u64 = 1;
-/// How long an instance that a seed told everything lets others tell that they watch the directory,
-/// before it takes itself for the only one.
-const SETTLE_MS: u64 = 1_500;
-/// How long after its start an instance registers, if it does, and how often it looks again: those
-/// that are to find it by its registration are not in a hurry, and it knows who else lives by then.
-const REGISTER_LOOK_MS: u64 = 2_000;
+const MAX_SEED_PAUSE_MS: u64 = 160;
+/// The random spread that is added to the time for asking seeds, so that starting instances without an
+/// answer do not all call the directory at once.
+const SEED_PHASE_JITTER_MS: u64 = 600;
+/// How often an instance checks whether it should watch the directory.
+const WATCH_CHECK_INTERVAL_MS: u64 = 250;
+/// The wait of a watch call that only checks whether the directory still answers.
+const CHECK_WATCH_WAIT_MS: u64 = 1;
+/// How long after its start an instance waits to learn which others watch the directory, before it concludes
+/// that none does.
+const WATCHERS_KNOWN_MS: u64 = 1_500;
+/// How long after its start an instance first decides whether to register, and how often it decides again at
+/// the most: by then it knows the other live instances, and being found by registration is not urgent.
+const REGISTER_CHECK_MS: u64 = 2_000;
 
 impl Control {
-    pub(super) async fn follow_directory(self: Rc<Control>) {
-        let mut retry_ms = RETRY_MS;
+    pub(super) async fn watch_directory(self: Rc<Control>) {
+        let mut retry_ms = MIN_RETRY_MS;
         let mut is_history_gone = false;
-        self.ask_seeds().await;
+        self.fetch_from_seeds().await;
         loop {
             self.wait_for_turn().await;
-            if let Some(revision) = self.told_revision().filter(|_| !is_history_gone) {
-                slog::info!(self.log, "directory watched from where peers know it";
+            if let Some(revision) = self.revision_from_peers().filter(|_| !is_history_gone) {
+                slog::info!(self.log, "watching the directory from the revision that peers sent";
                     "revision" => revision);
                 is_history_gone = !self.watch(revision).await;
                 continue;
@@ -61,54 +61,55 @@
             let listed = self.timed("list", self.directory.list()).await;
             match listed {
                 Ok(listing) => {
-                    retry_ms = RETRY_MS;
+                    retry_ms = MIN_RETRY_MS;
                     let revision = listing.revision;
                     self.directory_answered();
-                    self.take_listing(listing);
+                    self.apply_listing(listing);
                     is_history_gone = !self.watch(revision).await;
                 }
                 Err(fault) => {
                     self.directory_failed(&fault);
-                    let pause_ms = retry_ms * self.patience();
+                    let pause_ms = retry_ms * self.retry_factor();
                     tokio::time::sleep(Duration::from_millis(pause_ms)).await;
-                    retry_ms = (retry_ms * 2).min(RETRY_MOST_MS);
+                    retry_ms = (retry_ms * 2).min(MAX_RETRY_MS);
                 }
             }
         }
     }
 
-    /// The revision up to which peers told this instance everything, configurations included: it need
-    /// not read anew what they read.
-    fn told_revision(&self) -> Option<u64> {
-        let board = self.board.borrow();
-        let versions = Control::versions(&board);
+    /// The revision up to which peers sent this instance all upstreams and the newest configuration, so that it
+    /// can watch from there without reading the whole directory.
+    fn revision_from_peers(&self) -> Option<u64> {
+        let state = self.state.borrow();
+        let versions = Control::versions(&state);
         let has_config =
-            board.config.is_some() && versions.config >= board.membership.newest_config();
-        (board.has_fleet && board.part.share.is_all() && has_config).then_some(versions.fleet)
+            state.config.is_some() && versions.config >= state.membership.newest_config();
+        (state.has_fleet && state.held_part.share.is_all() && has_config).then_some(versions.fleet)
     }
 
-    /// Follows the changes. Returns whether the watch was left to others; it ends also when the changes
-    /// are no longer kept.
+    /// Watches the directory for changes. Returns `true` once enough other instances watch it, and `false` if
+    /// the directory no longer keeps the changes since the revision.
     pub(super) async fn watch(&self, mut revision: u64) -> bool {
-        let mut retry_ms = RETRY_MS;
-        // Others should hear at once that this instance hears from the directory.
+        let mut retry_ms = MIN_RETRY_MS;
+        // The first call returns at once, so that peers soon learn that this instance has a working watch.
         let mut is_check = true;
         loop {
             let turn = self.turn();
-            if !turn.watches() {
-                self.board.borrow_mut().is_watching = false;
-                slog::info!(self.log, "directory left to others"; "revision" => revision);
+            if !turn.is_watcher() {
+                self.state.borrow_mut().is_watching = false;
+                slog::info!(self.log, "stopped watching the directory; other instances watch it";
+                    "revision" => revision);
                 return true;
             }
-            let wait_ms = if is_check { CHECK_WAIT_MS } else { turn.wait_ms() };
+            let wait_ms = if is_check { CHECK_WATCH_WAIT_MS } else { turn.wait_ms() };
             let watched = tokio::select! {
                 watched = self.directory.watch(revision, wait_ms) => watched,
-                () = self.doubted_directory.notified(), if !is_check => {
+                () = self.directory_check.notified(), if !is_check => {
                     is_check = true;
                     continue;
                 }
-                () = self.broken_watch.notified() => {
-                    slog::info!(self.log, "watch is behind peers and given up";
+                () = self.watch_restart.notified() => {
+                    slog::info!(self.log, "directory watch lags behind peers; restarting it";
                         "revision" => revision);
                     continue;
                 }
@@ -116,104 +117,108 @@
             is_check = false;
             match watched {
                 Ok(changes) => {
-                    retry_ms = RETRY_MS;
+                    retry_ms = MIN_RETRY_MS;
                     self.directory_answered();
                     revision = revision.max(changes.revision);
                     let has_any = !changes.records.is_empty() || !changes.removed.is_empty();
-                    self.take_changes(changes);
+                    self.apply_changes(changes);
                     if has_any {
-                        tokio::time::sleep(Duration::from_millis(turn.gather_ms())).await;
+                        tokio::time::sleep(Duration::from_millis(turn.batch_delay_ms())).await;
                     }
                 }
                 Err(fault @ Fault::HistoryGone) => {
-                    slog::info!(self.log, "directory read anew"; "why" => %fault);
+                    slog::info!(self.log, "reading the whole directory again"; "why" => %fault);
                     return false;
                 }
                 Err(fault) => {
                     self.directory_failed(&fault);
-                    let pause_ms = retry_ms * self.patience();
+                    let pause_ms = retry_ms * self.retry_factor();
                     tokio::time::sleep(Duration::from_millis(pause_ms)).await;
-                    retry_ms = (retry_ms * 2).min(RETRY_MOST_MS);
+                    retry_ms = (retry_ms * 2).min(MAX_RETRY_MS);
                 }
             }
         }
     }
 
-    /// Where this instance stands among those that hear from the directory.
-    fn turn(&self) -> Turn {
-        self.turn_of(&self.board.borrow())
+    /// This instance's position among those that have a working directory watch.
+    fn turn(&self) -> WatchPosition {
+        self.turn_of(&self.state.borrow())
     }
 
-    pub(super) fn turn_of(&self, board: &Board) -> Turn {
-        let first_hand = board.membership.alive().filter(|member| member.card.is_first_hand);
-        Turn::of(board.membership.my_rank(), first_hand.map(|member| member.card.rank()))
+    pub(super) fn turn_of(&self, state: &ControlState) -> WatchPosition {
+        let watching_peers = state.membership.alive().filter(|member| member.card.is_first_hand);
+        WatchPosition::of(
+            state.membership.my_rank(),
+            watching_peers.map(|member| member.card.rank()),
+        )
     }
 
-    /// How many times longer than the first in rank it waits for a directory that answers nobody.
-    fn patience(&self) -> u64 {
-        Turn::patience(self.board.borrow().membership.before_me())
+    /// The factor on the retry pause by rank, so that few instances call an unreachable directory often.
+    fn retry_factor(&self) -> u64 {
+        WatchPosition::backoff_factor(self.state.borrow().membership.before_me())
     }
 
     fn should_watch(&self) -> bool {
         let now_ms = self.clock.now_ms();
         let turn = self.turn();
-        let board = self.board.borrow();
-        let before_me = board.membership.before_me();
-        if !board.has_fleet {
+        let state = self.state.borrow();
+        let before_me = state.membership.before_me();
+        if !state.has_fleet {
             if !self.has_seeds() {
                 return true;
             }
-            // Those that others know of are told soon, and know too few yet to tell their rank.
-            let is_alone = board.membership.alive().next().is_none();
-            let since_ms = if is_alone { START_MS } else { SETTLE_MS };
-            return now_ms >= since_ms && watchers::may_read(before_me, now_ms - since_ms);
+            // An instance that knows a peer soon receives the list from peers, and knows too few members yet
+            // to compute its rank.
+            let is_alone = state.membership.alive().next().is_none();
+            let since_ms = if is_alone { MIN_SEED_PHASE_MS } else { WATCHERS_KNOWN_MS };
+            return now_ms >= since_ms
+                && watchers::may_call_directory(before_me, now_ms - since_ms);
         }
-        let is_settling = turn.others == 0 && now_ms < SETTLE_MS;
-        if is_settling || !turn.watches() {
+        let is_settling = turn.others == 0 && now_ms < WATCHERS_KNOWN_MS;
+        if is_settling || !turn.is_watcher() {
             return false;
         }
-        let short_ms = board.few_watch_since_ms.map_or(0, |since_ms| now_ms - since_ms);
-        watchers::may_read(before_me, short_ms)
+        let too_few_ms = state.too_few_watchers_since_ms.map_or(0, |since_ms| now_ms - since_ms);
+        watchers::may_call_directory(before_me, too_few_ms)
     }
 
-    /// Whether there are others whom it asks when it starts; the seeds themselves ask nobody.
+    /// Whether this instance asks seeds when it starts; the seeds themselves do not.
     fn has_seeds(&self) -> bool {
         let seeds = &self.settings.seeds;
         !seeds.is_empty() && !seeds.contains(&self.settings.peer)
     }
 
-    /// Asks the seeds what they know before the directory is asked: reading everything is dear for
-    /// the directory when many start at once. The seeds, whom all ask, read it themselves. After a few
-    /// questions it leaves it to its peers to tell what they know: in a large fleet that starts together
-    /// the seeds would do nothing but answer.
-    async fn ask_seeds(&self) {
+    /// Fetches the configuration and the upstream list from seeds before calling the directory: full reads by
+    /// many instances that start at once are expensive for the directory. The seeds read it themselves. After
+    /// a few requests the instance waits for peers to send what they have, since the seeds of a large fleet
+    /// that starts at once would otherwise do nothing but answer.
+    async fn fetch_from_seeds(&self) {
         if !self.has_seeds() {
             return;
         }
         let seeds: Vec<SocketAddr> = self.settings.seeds.clone();
-        let patience_ms = START_MS + fastrand::u64(..START_SPREAD_MS);
-        let mut pause_ms = FIRST_PAUSE_MS;
-        while self.clock.now_ms() < patience_ms && !self.board.borrow().has_fleet {
-            if pause_ms <= LAST_PAUSE_MS {
+        let until_ms = MIN_SEED_PHASE_MS + fastrand::u64(..SEED_PHASE_JITTER_MS);
+        let mut pause_ms = MIN_SEED_PAUSE_MS;
+        while self.clock.now_ms() < until_ms && !self.state.borrow().has_fleet {
+            if pause_ms <= MAX_SEED_PAUSE_MS {
                 let seed = seeds[fastrand::usize(..seeds.len())];
                 if self.fetch_config(seed).await {
                     self.fetch_list(seed).await;
                 }
             }
             tokio::time::sleep(Duration::from_millis(fastrand::u64(pause_ms..2 * pause_ms))).await;
-            pause_ms = (pause_ms * 2).min(RETRY_MOST_MS);
+            pause_ms = (pause_ms * 2).min(MAX_RETRY_MS);
         }
     }
 
-    /// Waits until this instance should hear of changes from the directory itself.
+    /// Waits until this instance should watch the directory itself.
     pub(super) async fn wait_for_turn(&self) {
         while !self.should_watch() {
-            tokio::time::sleep(Duration::from_millis(WATCH_LOOK_MS)).await;
+            tokio::time::sleep(Duration::from_millis(WATCH_CHECK_INTERVAL_MS)).await;
         }
     }
 
-    /// Makes a call and records how long its answer took; a call without one is a fault, and
-    /// counted as such.
+    /// Awaits a call and records its latency if it succeeds; a failed call is a fault and has no latency.
     async fn timed<T>(
         &self,
         call: &str,
@@ -230,13 +235,13 @@
 
     pub(super) fn directory_answered(&self) {
         let now_ms = self.clock.now_ms();
-        let mut board = self.board.borrow_mut();
-        board.answered_ms = now_ms;
-        board.is_watching = true;
-        if board.is_directory_lost {
-            board.is_directory_lost = false;
-            if !std::mem::take(&mut board.is_outage_own) {
-                board.fleet.regained(now_ms);
+        let mut state = self.state.borrow_mut();
+        state.directory_answered_ms = now_ms;
+        state.is_watching = true;
+        if state.is_directory_lost {
+            state.is_directory_lost = false;
+            if !std::mem::take(&mut state.is_outage_local) {
+                state.fleet.regained(now_ms);
             }
             slog::info!(self.log, "directory answers again");
         }
@@ -244,76 +249,76 @@
 
     pub(super) fn directory_failed(&self, fault: &Fault) {
         self.metrics.count("directory_faults");
-        let mut board = self.board.borrow_mut();
-        if !board.is_directory_lost {
-            board.is_directory_lost = true;
+        let mut state = self.state.borrow_mut();
+        if !state.is_directory_lost {
+            state.is_directory_lost = true;
             slog::warn!(self.log, "directory lost"; "why" => %fault,
-                "config_version" => board.config.as_ref().map_or(0, |config| config.version),
-                "fleet_revision" => board.fleet.revision);
+                "config_version" => state.config.as_ref().map_or(0, |config| config.version),
+                "fleet_revision" => state.fleet.revision);
             self.dirty.notify_one();
         }
     }
 
-    pub(super) fn take_listing(&self, listing: Listing) {
+    pub(super) fn apply_listing(&self, listing: Listing) {
         let now_ms = self.clock.now_ms();
         let mut upstreams = Vec::new();
-        let mut foreign = Vec::new();
+        let mut unusable = Vec::new();
         for record in listing.records {
             match record {
                 Record::Upstream(upstream) => upstreams.push(upstream),
                 Record::ForeignUpstream { id, detail } => {
-                    self.log_foreign(&id, &detail);
-                    foreign.push(id);
+                    self.log_unusable(&id, &detail);
+                    unusable.push(id);
                 }
-                record => self.take_record(record),
+                record => self.apply_record(record),
             }
         }
-        let mut board = self.board.borrow_mut();
+        let mut state = self.state.borrow_mut();
         slog::info!(self.log, "directory listed"; "revision" => listing.revision,
             "upstreams" => upstreams.len());
-        if board.fleet.replace(listing.revision, upstreams, &foreign, now_ms) {
-            board.has_fleet = true;
+        if state.fleet.replace(listing.revision, upstreams, &unusable, now_ms) {
+            state.has_fleet = true;
         }
-        board.part.share = Share::ALL;
-        board.wanted_share = None;
-        Control::note_large(&mut board);
-        board.is_first_to_tell = true;
-        drop(board);
+        state.held_part.share = Share::ALL;
+        state.wanted_share = None;
+        Control::update_large_services(&mut state);
+        state.is_update_from_directory = true;
+        drop(state);
         self.publish();
     }
 
-    pub(super) fn take_changes(&self, changes: Changes) {
+    pub(super) fn apply_changes(&self, changes: Changes) {
         let now_ms = self.clock.now_ms();
-        let mut of_upstreams = Vec::new();
+        let mut upstream_changes = Vec::new();
         for record in changes.records {
             match record {
-                Record::Upstream(upstream) => of_upstreams.push(Change::Put(upstream)),
+                Record::Upstream(upstream) => upstream_changes.push(Change::Put(upstream)),
                 Record::ForeignUpstream { id, detail } => {
-                    self.log_foreign(&id, &detail);
-                    of_upstreams.push(Change::Foreign(id));
+                    self.log_unusable(&id, &detail);
+                    upstream_changes.push(Change::Foreign(id));
                 }
-                record => self.take_record(record),
+                record => self.apply_record(record),
             }
         }
         for removed in changes.removed {
             match removed {
-                Removed::Upstream(id) => of_upstreams.push(Change::Gone(id)),
-                // Peers tell by their beats whether an instance lives.
+                Removed::Upstream(id) => upstream_changes.push(Change::Gone(id)),
+                // The membership protocol detects which instances are alive.
                 Removed::Instance(_) => {}
-                Removed::Holder => self.note_holder(None),
+                Removed::Holder => self.record_duty_holder(None),
             }
         }
-        for change in &of_upstreams {
+        for change in &upstream_changes {
             self.log_change(change);
             if let Change::Gone(id) | Change::Foreign(id) = change {
-                self.board.borrow_mut().found.remove(id);
+                self.state.borrow_mut().rediscovered.remove(id);
             }
         }
-        let mut board = self.board.borrow_mut();
-        board.fleet.apply(changes.revision, of_upstreams, now_ms);
-        Control::note_large(&mut board);
-        board.is_first_to_tell = true;
-        drop(board);
+        let mut state = self.state.borrow_mut();
+        state.fleet.apply(changes.revision, upstream_changes, now_ms);
+        Control::update_large_services(&mut state);
+        state.is_update_from_directory = true;
+        drop(state);
         self.publish();
     }
 
@@ -328,88 +333,88 @@
         }
     }
 
-    fn log_foreign(&self, id: &str, detail: &str) {
-        slog::warn!(self.log, "entry names no upstream to use"; "upstream" => id,
+    fn log_unusable(&self, id: &str, detail: &str) {
+        slog::warn!(self.log, "ignoring an unusable upstream entry"; "upstream" => id,
             "detail" => detail);
     }
 
-    pub(super) fn take_record(&self, record: Record) {
+    pub(super) fn apply_record(&self, record: Record) {
         match record {
-            Record::Config(config) => self.take_config(config, "directory"),
+            Record::Config(config) => self.apply_config(config, "directory"),
             Record::Instance(registration) => {
-                self.board.borrow_mut().membership.contact(&registration);
+                self.state.borrow_mut().membership.contact(&registration);
             }
             Record::Crashes(record) => {
-                self.take_crashes(record, "directory");
+                self.merge_crash_record(record, "directory");
             }
-            Record::Holder(holder) => self.note_holder(Some(holder)),
+            Record::Holder(holder) => self.record_duty_holder(Some(holder)),
             Record::Unreadable { key, detail } => {
-                slog::warn!(self.log, "record refused; what is in force stays";
+                slog::warn!(self.log, "record refused; the previous value stays in force";
                     "key" => key, "detail" => detail);
             }
             Record::Upstream(_) | Record::ForeignUpstream { .. } => {}
         }
     }
 
-    /// Notes who has the duties that one instance at a time has.
-    fn note_holder(&self, holder: Option<Holder>) {
+    /// Records which instance holds the duties.
+    fn record_duty_holder(&self, holder: Option<Holder>) {
         let now_ms = self.clock.now_ms();
-        let mut board = self.board.borrow_mut();
-        board.duty_lease.note_holder(holder.as_ref(), now_ms);
-        board.duty_holder = holder;
+        let mut state = self.state.borrow_mut();
+        state.duty_lease.note_holder(holder.as_ref(), now_ms);
+        state.duty_holder = holder;
     }
 
-    pub(super) async fn keep_registration(self: Rc<Control>) {
-        let mut retry_ms = RETRY_MOST_MS;
+    pub(super) async fn maintain_registration(self: Rc<Control>) {
+        let mut retry_ms = MAX_RETRY_MS;
         loop {
             if self.is_stopping() {
-                // A registration that was under way when the stop began has just come about.
-                return self.release().await;
+                // A registration that was in progress when the stop began may have completed.
+                return self.remove_registration().await;
             }
-            let lease = self.board.borrow().lease;
-            if lease.is_none() && !self.registers() {
-                let pause_ms = REGISTER_LOOK_MS + fastrand::u64(..REGISTER_LOOK_MS);
+            let lease = self.state.borrow().registration_lease;
+            if lease.is_none() && !self.should_register() {
+                let pause_ms = REGISTER_CHECK_MS + fastrand::u64(..REGISTER_CHECK_MS);
                 tokio::time::sleep(Duration::from_millis(pause_ms)).await;
                 continue;
             }
-            let kept = match lease {
+            let result = match lease {
                 Some(lease) => self.timed("renew", self.directory.renew(lease)).await,
                 None => self.register().await,
             };
-            match kept {
+            match result {
                 Ok(()) if self.is_stopping() => {}
                 Ok(()) => {
-                    retry_ms = RETRY_MOST_MS;
-                    tokio::time::sleep(Duration::from_millis(RENEW_MS)).await;
+                    retry_ms = MAX_RETRY_MS;
+                    tokio::time::sleep(Duration::from_millis(RENEW_INTERVAL_MS)).await;
                 }
-                Err(Fault::LeaseEnded) => self.board.borrow_mut().lease = None,
+                Err(Fault::LeaseEnded) => self.state.borrow_mut().registration_lease = None,
                 Err(fault) => {
-                    slog::info!(self.log, "registration not renewed"; "why" => %fault);
+                    slog::info!(self.log, "could not register or renew the registration"; "why" => %fault);
                     tokio::time::sleep(Duration::from_millis(retry_ms)).await;
-                    retry_ms = (retry_ms * 2).min(REGISTER_RETRY_MOST_MS);
+                    retry_ms = (retry_ms * 2).min(MAX_REGISTER_RETRY_MS);
                 }
             }
         }
     }
 
-    /// Whether this instance should be registered, as far as it knows who else lives: at once if
-    /// nobody can have told it.
-    pub(super) fn registers(&self) -> bool {
+    /// Whether this instance should be registered, by its rank among the live instances that it knows. An
+    /// instance with seeds to ask first waits until it knows the others.
+    pub(super) fn should_register(&self) -> bool {
         let now_ms = self.clock.now_ms();
-        let board = self.board.borrow();
-        let others = board.membership.alive().map(|member| member.card.rank());
-        let knows_others = now_ms >= REGISTER_LOOK_MS || !self.has_seeds();
-        knows_others && watchers::registers(board.membership.my_rank(), others)
+        let state = self.state.borrow();
+        let others = state.membership.alive().map(|member| member.card.rank());
+        let knows_others = now_ms >= REGISTER_CHECK_MS || !self.has_seeds();
+        knows_others && watchers::should_register(state.membership.my_rank(), others)
     }
 
     fn is_stopping(&self) -> bool {
-        self.board.borrow().phase == Phase::Stopping
+        self.state.borrow().phase == Phase::Stopping
     }
 
     pub(super) async fn register(&self) -> Result<(), Fault> {
-        let registering = self.directory.register(&self.me, LEASE_MS);
+        let registering = self.directory.register(&self.me, REGISTRATION_TTL_MS);
         let lease = self.timed("register", registering).await?;
-        self.board.borrow_mut().lease = Some(lease);
+        self.state.borrow_mut().registration_lease = Some(lease);
         Ok(())
     }
 }
--- a/src/gateway/control/quarantine.rs
+++ b/src/gateway/control/quarantine.rs
@@ -1,103 +1,105 @@
-//! The controller of the quarantine: it judges the crashes that traffic reports, and has peers know.
+//! Tracks requests that crash upstreams: judges the crashes that request handling reports, quarantines
+//! requests, and shares the records with peers and the directory.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 
-use super::super::crash::{Crash, CrashRecord, EndedUnder};
+use super::super::crash::{Crash, CrashRecord, EarlyCrash};
 use super::super::fingerprint::Fingerprint;
 use super::super::membership::{Message, Rumor};
 use super::super::policy::quarantine::{Judgement, QUARANTINE_MS};
 use super::super::view::Report;
-use super::{Board, Control};
+use super::{Control, ControlState};
 
-/// How often a quarantine is tried to be stored, and the pause between: outages of the directory last
-/// for seconds, and peers know it meanwhile.
-const REMEMBER_TRIES: u32 = 30;
-const REMEMBER_PAUSE_MS: u64 = 1_000;
+/// How many attempts are made to store a quarantine record, and the pause between them: outages of the
+/// directory last for seconds, and peers have the record meanwhile.
+const MAX_STORE_ATTEMPTS: u32 = 30;
+const STORE_RETRY_PAUSE_MS: u64 = 1_000;
 
 impl Control {
-    /// Takes in what is reported, and judges it when peers have told what else ended.
-    pub(super) async fn keep_quarantine(self: Rc<Control>) {
+    /// Collects reported crashes, and judges each after a delay in which peers report other upstreams that
+    /// ended.
+    pub(super) async fn maintain_quarantine(self: Rc<Control>) {
         loop {
-            let settles_ms = self.board.borrow().quarantine.settles_ms();
-            let left_ms = settles_ms.map(|at_ms| at_ms.saturating_sub(self.clock.now_ms()));
+            let next_judgement_ms = self.state.borrow().quarantine.next_judgement_ms();
+            let left_ms = next_judgement_ms.map(|at_ms| at_ms.saturating_sub(self.clock.now_ms()));
             tokio::select! {
                 () = self.shared.reported.notified() => {}
-                () = sleep_or_wait(left_ms) => {}
+                () = sleep_or_wait_forever(left_ms) => {}
             }
             for report in self.shared.take_reports() {
-                self.take_report(report);
+                self.handle_report(report);
             }
-            self.tell_ends();
-            self.settle();
-            self.tell_quarantine_news();
+            self.gossip_ends();
+            self.judge_crashes();
+            self.publish_quarantine_changes();
         }
     }
 
-    /// Has peers hear which upstreams ended under runs that had just begun.
-    fn tell_ends(&self) {
-        let mut board = self.board.borrow_mut();
-        for end in board.quarantine.take_ends() {
-            board.membership.tell(Rumor::Ended(end));
+    /// Gossips which upstreams ended under runs that had just begun.
+    fn gossip_ends(&self) {
+        let mut state = self.state.borrow_mut();
+        for end in state.quarantine.take_early_crashes() {
+            state.membership.tell(Rumor::Ended(end));
         }
-        drop(board);
+        drop(state);
         self.rumors.notify_one();
     }
 
-    /// Takes in such an end from a peer; the others hear of it if it is news.
-    pub(super) fn hear_end(&self, end: EndedUnder, now_ms: u64) {
-        let mut board = self.board.borrow_mut();
-        let Some(upstream) = board.fleet.upstreams.get(&end.upstream).cloned() else { return };
-        if board.quarantine.hear_end(&upstream, end.fingerprint, now_ms) {
-            board.membership.tell(Rumor::Ended(end));
-            drop(board);
+    /// Records such an end reported by a peer, and gossips it further if it was not known.
+    pub(super) fn handle_end_report(&self, end: EarlyCrash, now_ms: u64) {
+        let mut state = self.state.borrow_mut();
+        let Some(upstream) = state.fleet.upstreams.get(&end.upstream).cloned() else { return };
+        if state.quarantine.note_early_crash(&upstream, end.fingerprint, now_ms) {
+            state.membership.tell(Rumor::Ended(end));
+            drop(state);
             self.rumors.notify_one();
         }
     }
 
-    fn take_report(self: &Rc<Control>, report: Report) {
+    fn handle_report(self: &Rc<Control>, report: Report) {
         let now_ms = self.clock.now_ms();
-        let mut board = self.board.borrow_mut();
+        let mut state = self.state.borrow_mut();
         match report {
-            Report::Crash(crash) => board.quarantine.note_crash(crash),
+            Report::Crash(crash) => state.quarantine.note_crash(crash),
             Report::Served(fingerprint, event) => {
-                let was_quarantined = board.quarantine.is_quarantined(fingerprint);
-                board.quarantine.clear_served(fingerprint, event, now_ms);
-                if was_quarantined && !board.quarantine.is_quarantined(fingerprint) {
-                    drop(board);
+                let was_quarantined = state.quarantine.is_quarantined(fingerprint);
+                state.quarantine.clear_served(fingerprint, event, now_ms);
+                if was_quarantined && !state.quarantine.is_quarantined(fingerprint) {
+                    drop(state);
                     slog::warn!(self.log, "quarantine lifted: the request was served";
                         "fingerprint" => %fingerprint);
-                    self.remember(fingerprint);
+                    self.store_record(fingerprint);
                 }
             }
             Report::Lift(fingerprint) => {
-                let was_known = board.quarantine.lift(fingerprint, now_ms);
-                drop(board);
-                self.remember(fingerprint);
+                let was_known = state.quarantine.lift(fingerprint, now_ms);
+                drop(state);
+                self.store_record(fingerprint);
                 slog::warn!(self.log, "quarantine lifted"; "fingerprint" => %fingerprint,
                     "was_known" => was_known);
             }
         }
     }
 
-    fn settle(self: &Rc<Control>) {
+    fn judge_crashes(self: &Rc<Control>) {
         let now_ms = self.clock.now_ms();
-        let mut board = self.board.borrow_mut();
-        let Board { quarantine, fleet, .. } = &mut *board;
-        let settled = quarantine.settle(&fleet.upstreams, now_ms);
-        drop(board);
-        for (crash, judgement) in settled {
+        let mut state = self.state.borrow_mut();
+        let ControlState { quarantine, fleet, .. } = &mut *state;
+        let judged = quarantine.judge_pending(&fleet.upstreams, now_ms);
+        drop(state);
+        for (crash, judgement) in judged {
             self.log_crash(&crash, judgement);
             if judgement == Judgement::Quarantined {
-                self.remember(crash.fingerprint);
+                self.store_record(crash.fingerprint);
             }
         }
     }
 
     fn log_crash(&self, crash: &Crash, judgement: Judgement) {
         let Crash { fingerprint, upstream, stage, event, .. } = crash;
-        slog::warn!(self.log, "upstream ended under a request"; "fingerprint" => %fingerprint,
+        slog::warn!(self.log, "upstream crashed under a request"; "fingerprint" => %fingerprint,
             "upstream" => &*upstream.id, "domain" => &*upstream.domain, "stage" => ?stage,
             "event" => event, "judged" => ?judgement);
         if judgement == Judgement::Quarantined {
@@ -110,86 +112,89 @@
         self.metrics.count("requests_quarantined");
     }
 
-    /// Has the directory remember how a request stands, as soon as it answers.
-    fn remember(self: &Rc<Control>, fingerprint: Fingerprint) {
+    /// Stores the record of a request in the directory, retrying while it is unreachable.
+    fn store_record(self: &Rc<Control>, fingerprint: Fingerprint) {
         let control = Rc::clone(self);
         tokio::task::spawn_local(async move {
-            for _ in 0..REMEMBER_TRIES {
+            for _ in 0..MAX_STORE_ATTEMPTS {
                 let now_ms = control.clock.now_ms();
-                let record = control.board.borrow().quarantine.record(fingerprint, now_ms);
+                let record = control.state.borrow().quarantine.record(fingerprint, now_ms);
                 let Some(record) = record else { return };
                 match control.directory.remember(&record, QUARANTINE_MS).await {
                     Ok(()) => return,
-                    Err(fault) => slog::info!(control.log, "quarantine not stored yet";
-                        "fingerprint" => %fingerprint, "why" => %fault),
+                    Err(fault) => {
+                        slog::info!(control.log, "could not store the quarantine record; retrying";
+                        "fingerprint" => %fingerprint, "why" => %fault)
+                    }
                 }
-                tokio::time::sleep(Duration::from_millis(REMEMBER_PAUSE_MS)).await;
+                tokio::time::sleep(Duration::from_millis(STORE_RETRY_PAUSE_MS)).await;
             }
         });
     }
 
-    /// Takes in what a peer tells of a request.
-    pub(super) fn hear_crashes(self: &Rc<Control>, told: CrashRecord) {
-        let fingerprint = told.fingerprint;
-        // Crashes that several instances saw add up at any of them: a few have the directory remember.
-        if self.take_crashes(told, "peer") && self.registers() {
-            self.remember(fingerprint);
+    /// Merges the record of a request from a peer.
+    pub(super) fn handle_crash_record(self: &Rc<Control>, record: CrashRecord) {
+        let fingerprint = record.fingerprint;
+        // Crashes seen by several instances can add up to a quarantine at any of them, so the few registered
+        // instances store it.
+        if self.merge_crash_record(record, "peer") && self.should_register() {
+            self.store_record(fingerprint);
         }
     }
 
-    /// Takes in what others know of a request. Whether it is quarantined here by that.
-    pub(super) fn take_crashes(&self, told: CrashRecord, from: &'static str) -> bool {
-        let fingerprint = told.fingerprint;
-        let is_new = self.board.borrow_mut().quarantine.hear(told, self.clock.now_ms());
+    /// Merges the record of a request. Returns whether this quarantines the request here.
+    pub(super) fn merge_crash_record(&self, record: CrashRecord, from: &'static str) -> bool {
+        let fingerprint = record.fingerprint;
+        let is_new = self.state.borrow_mut().quarantine.merge_record(record, self.clock.now_ms());
         if is_new {
             self.log_quarantined(fingerprint, from);
         }
-        self.tell_quarantine_news();
+        self.publish_quarantine_changes();
         is_new
     }
 
-    /// Has traffic and peers know what changed.
-    fn tell_quarantine_news(&self) {
+    /// Publishes and gossips changed records.
+    fn publish_quarantine_changes(&self) {
         let now_ms = self.clock.now_ms();
-        let mut board = self.board.borrow_mut();
-        let news = board.quarantine.take_news(now_ms);
-        if news.is_empty() {
+        let mut state = self.state.borrow_mut();
+        let changed = state.quarantine.take_updates(now_ms);
+        if changed.is_empty() {
             return;
         }
-        for told in news {
-            board.membership.tell(Rumor::Crashes(told));
+        for record in changed {
+            state.membership.tell(Rumor::Crashes(record));
         }
-        drop(board);
+        drop(state);
         self.publish();
     }
 
-    /// Tells a part of everything to some.
-    pub(super) fn tell_quarantine(&self, addrs: &[SocketAddr]) {
+    /// Sends the next batch of all records to some peers.
+    pub(super) fn send_quarantine(&self, addrs: &[SocketAddr]) {
         let now_ms = self.clock.now_ms();
-        let part = self.board.borrow_mut().quarantine.next_part(now_ms);
-        if !part.is_empty() {
-            let rumors = part.into_iter().map(Rumor::Crashes).collect();
+        let batch = self.state.borrow_mut().quarantine.next_sync_batch(now_ms);
+        if !batch.is_empty() {
+            let rumors = batch.into_iter().map(Rumor::Crashes).collect();
             self.send(&Message::Rumors(rumors), addrs);
         }
     }
 
-    /// Tells a part of everything to one living peer, whatever it knows: gossip ends after a few
-    /// rounds, and an instance that was cut off or suspended meanwhile has missed it.
-    pub(super) fn tell_quarantine_to_one(&self) {
-        let board = self.board.borrow();
-        if board.quarantine.is_empty() {
+    /// Sends the next batch of all records to one live peer, whatever it knows: gossip ends after a few rounds,
+    /// and an instance that was cut off or suspended meanwhile has missed it.
+    pub(super) fn send_quarantine_to_one_peer(&self) {
+        let state = self.state.borrow();
+        if state.quarantine.is_empty() {
             return;
         }
         let alive: Vec<SocketAddr> =
-            board.membership.alive().map(|member| member.card.registration.peer_addr).collect();
-        drop(board);
+            state.membership.alive().map(|member| member.card.registration.peer_addr).collect();
+        drop(state);
         if let Some(addr) = fastrand::choice(alive) {
-            self.tell_quarantine(&[addr]);
+            self.send_quarantine(&[addr]);
         }
     }
 }
 
-async fn sleep_or_wait(left_ms: Option<u64>) {
+async fn sleep_or_wait_forever(left_ms: Option<u64>) {
     match left_ms {
         Some(left_ms) => tokio::time::sleep(Duration::from_millis(left_ms)).await,
         None => std::future::pending().await,
--- a/src/gateway/policy/active.rs
+++ b/src/gateway/policy/active.rs
@@ -14,5 +14,5 @@
 /// Selects the instances that callers are sent to, from those of one failure domain that accept
 /// callers.
 pub fn active_instances<T>(ready: impl Iterator<Item = (Rank, T)>) -> Vec<T> {
-    watchers::first(MAX_ACTIVE_INSTANCES, ready)
+    watchers::first_in_rank(MAX_ACTIVE_INSTANCES, ready)
 }
--- a/tests/gateway/suspicion.rs
+++ b/tests/gateway/suspicion.rs
@@ -49,7 +49,7 @@
     at_ms: u64,
 ) -> bool {
     known.note_crash(crash(fingerprint, number, Stage::Begun, at_ms));
-    known.settle(&engines(), at_ms + JUDGEMENT_DELAY_MS);
+    known.judge_pending(&engines(), at_ms + JUDGEMENT_DELAY_MS);
     is_quarantined(known, fingerprint)
 }
 
@@ -59,8 +59,8 @@
 
 /// Sends everything that one instance would report to another.
 fn send_reports(from: &mut Quarantine, to: &mut Quarantine, now_ms: u64) {
-    for report in from.next_part(now_ms) {
-        to.hear(report, now_ms);
+    for report in from.next_sync_batch(now_ms) {
+        to.merge_record(report, now_ms);
     }
 }
 
@@ -118,7 +118,7 @@
         }
         let number = ended[loss as usize % ended.len()];
         known.note_crash(crash(unlucky, number, Stage::Begun, at_ms));
-        let judged = known.settle(&engines(), at_ms + JUDGEMENT_DELAY_MS);
+        let judged = known.judge_pending(&engines(), at_ms + JUDGEMENT_DELAY_MS);
         assert_eq!(judged[0].1, Judgement::Coincident);
     }
     assert!(known.suspects().is_empty());
@@ -133,7 +133,7 @@
     for number in 0..6 {
         known.note_crash(crash(poison, number, Stage::Begun, 1_000 + 50 * number as u64));
     }
-    known.settle(&engines(), 2_000);
+    known.judge_pending(&engines(), 2_000);
     assert!(is_quarantined(&known, poison));
 }
 
@@ -147,14 +147,14 @@
     let mut ends = Vec::new();
     for (number, instance) in instances.iter_mut().enumerate() {
         instance.note_crash(crash(poison, number, Stage::Begun, 1_000));
-        ends.extend(instance.take_ends());
+        ends.extend(instance.take_early_crashes());
     }
     let all = engines();
     for instance in &mut instances {
         for end in &ends {
-            instance.hear_end(&all[&end.upstream], end.fingerprint, 1_100);
+            instance.note_early_crash(&all[&end.upstream], end.fingerprint, 1_100);
         }
-        let judged = instance.settle(&all, 1_000 + JUDGEMENT_DELAY_MS);
+        let judged = instance.judge_pending(&all, 1_000 + JUDGEMENT_DELAY_MS);
         assert_eq!(judged[0].1, Judgement::Counted);
     }
     let (first, others) = instances.split_first_mut().unwrap();
@@ -170,11 +170,11 @@
     for number in 0..5 {
         let at_ms = 1_000 * (number as u64 + 1);
         known.note_crash(crash(waiting, number, Stage::Waiting, at_ms));
-        known.settle(&engines(), at_ms + JUDGEMENT_DELAY_MS);
+        known.judge_pending(&engines(), at_ms + JUDGEMENT_DELAY_MS);
         assert!(!is_quarantined(&known, waiting));
     }
     known.note_crash(crash(waiting, 5, Stage::Waiting, 9_000));
-    known.settle(&engines(), 9_000 + JUDGEMENT_DELAY_MS);
+    known.judge_pending(&engines(), 9_000 + JUDGEMENT_DELAY_MS);
     assert!(is_quarantined(&known, waiting), "crashes while the prompt is read count as well");
 }
 
@@ -218,7 +218,7 @@
     let poison = request("poison");
     let at = |number, at_ms| Crash { event: 100, ..crash(poison, number, Stage::Begun, at_ms) };
     known.note_crash(at(0, 1_000));
-    known.settle(&engines(), 1_000 + JUDGEMENT_DELAY_MS);
+    known.judge_pending(&engines(), 1_000 + JUDGEMENT_DELAY_MS);
     known.clear_served(poison, Some(100), 2_000);
     assert_eq!(known.suspects()[&poison].crashes, 1);
 }
@@ -250,13 +250,13 @@
     for round in 0..500 {
         let now_ms = 2_000 + 350 * round;
         // Each message takes 100 ms.
-        let report = here.next_part(now_ms);
+        let report = here.next_sync_batch(now_ms);
         for report in report {
-            there.hear(report, now_ms + 100);
+            there.merge_record(report, now_ms + 100);
         }
-        let report = there.next_part(now_ms + 200);
+        let report = there.next_sync_batch(now_ms + 200);
         for report in report {
-            here.hear(report, now_ms + 300);
+            here.merge_record(report, now_ms + 300);
         }
     }
     assert_eq!(here.suspects()[&poison].until_ms, Some(until_ms));
@@ -299,7 +299,7 @@
     }
     assert!(known.suspects().len() <= MAX_RECORDS);
     assert!(is_quarantined(&known, poison));
-    let report = known.next_part(4_000_000);
+    let report = known.next_sync_batch(4_000_000);
     assert!(report.len() <= 16 && rmp_serde::to_vec(&report).unwrap().len() < 4_096);
 }
 
