--- a/bench/src/lab/model.rs
+++ b/bench/src/lab/model.rs
@@ -9,10 +9,10 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 use rand_distr::{Distribution, Exp, LogNormal};
-use siskinrock::gateway::policy::admission::{self, Late, Load};
+use siskinrock::gateway::policy::admission::{self, EngineActivity, LateRequest};
 use siskinrock::gateway::policy::engine::{self, Need};
 use siskinrock::gateway::policy::placement::{self, Candidate, Constraints};
-use siskinrock::gateway::policy::silence::Patience;
+use siskinrock::gateway::policy::silence::SilenceTimeouts;
 
 use super::experiment::{Experiment, Fault};
 
@@ -463,7 +463,7 @@
                 slots: Some(*self.experiment.engines.slots.get_ref() as u32),
                 kept_tokens: 0,
             },
-            failing: 0.0,
+            failure_rate: 0.0,
             is_suspect: false,
         };
         let candidates: Vec<Candidate> = known.iter().map(candidate).collect();
@@ -530,8 +530,10 @@
             let lost_ms = self.runs[index].lost_ms.unwrap_or(f64::NEG_INFINITY);
             self.is_on(Mechanism::Avoid) && lost_ms + AVOID_MS > self.now_ms
         });
-        let constraints =
-            Constraints { not_domains: avoided.into_iter().collect(), ..Constraints::default() };
+        let constraints = Constraints {
+            avoided_domains: avoided.into_iter().collect(),
+            ..Constraints::default()
+        };
         match self.choose(index, &constraints) {
             Some(engine) => self.start(index, engine, false),
             None => self.schedule(self.now_ms + LOOK_AGAIN_MS, Event::Place { run: index }),
@@ -561,7 +563,7 @@
             return;
         }
         let constraints = Constraints {
-            not: vec![Arc::clone(&self.engines[engine].id)],
+            excluded: vec![Arc::clone(&self.engines[engine].id)],
             apart_from: Some(Arc::clone(&self.engines[engine].domain)),
             ..Constraints::default()
         };
@@ -579,14 +581,15 @@
             return;
         }
         let run = &self.runs[index];
-        let late = Late { since_ms: run.back_ms as u64, until_ms: run.until_ms as u64 };
+        let late = LateRequest { since_ms: run.back_ms as u64, until_ms: run.until_ms as u64 };
         let known = self.known();
         let reads = |at: &&usize| self.seen(run.instance, **at).reading > 0;
-        let load = Load { engines: known.len(), reading: known.iter().filter(reads).count() };
-        if late.is_sent(load, self.now_ms as u64) {
+        let load =
+            EngineActivity { engines: known.len(), reading: known.iter().filter(reads).count() };
+        if late.may_send(load, self.now_ms as u64) {
             return self.place(index);
         }
-        let at_ms = self.now_ms + self.choices.u64(..admission::LOOK_MS) as f64;
+        let at_ms = self.now_ms + self.choices.u64(..admission::MAX_RECHECK_DELAY_MS) as f64;
         self.schedule(at_ms, Event::Look { run: index });
     }
 
@@ -643,9 +646,10 @@
 
     fn lose_run(&mut self, index: usize, engine: usize, is_dark: bool) {
         let streams = &self.experiment.streams;
-        let patience = Patience::of(*streams.objective_ms.get_ref(), *streams.gap_ms.get_ref());
+        let patience =
+            SilenceTimeouts::of(*streams.objective_ms.get_ref(), *streams.gap_ms.get_ref());
         let is_running = self.runs[index].first_ms.is_some();
-        let quiet_ms = if is_running { patience.gap_ms } else { patience.first_ms };
+        let quiet_ms = if is_running { patience.gap_ms } else { patience.first_event_ms };
         let seen_ms = if is_dark { quiet_ms as f64 + STATE_MS } else { RESET_MS };
         self.hold(index, engine, |held| held.runs -= 1);
         let lost_domain = Arc::clone(&self.engines[engine].domain);
@@ -690,7 +694,7 @@
                 self.read_anew(index);
             }
             let waits = is_running && !is_kept && self.is_on(Mechanism::LateLast);
-            let look_ms = self.choices.u64(..admission::LOOK_MS) as f64;
+            let look_ms = self.choices.u64(..admission::MAX_RECHECK_DELAY_MS) as f64;
             if waits {
                 self.schedule(back_ms + look_ms, Event::Look { run: index });
             } else {
--- a/src/gateway/control.rs
+++ b/src/gateway/control.rs
@@ -40,11 +40,11 @@
 use super::metrics::Metrics;
 use super::policy::active;
 use super::policy::departures::Departures;
-use super::policy::found::Found;
 use super::policy::lease::{DutyLease, Holder};
 use super::policy::named_rates::AdvertisedRates;
 use super::policy::quarantine::Quarantine;
 use super::policy::rate_limit::Limiter;
+use super::policy::rediscovered::Rediscovered;
 use super::policy::subset::Share;
 use super::policy::usage::{Counter, Usage};
 use super::policy::watchers::{self, Rank};
@@ -66,7 +66,7 @@
     fleet: Fleet,
     /// Restarted engines that were found at their addresses while the directory was unreachable, and that it
     /// does not list yet.
-    rediscovered: Found,
+    rediscovered: Rediscovered,
     has_fleet: bool,
     membership: Membership,
     loads: PeerLoads,
@@ -219,7 +219,7 @@
         let state = ControlState {
             config: None,
             fleet: Fleet::default(),
-            rediscovered: Found::default(),
+            rediscovered: Rediscovered::default(),
             has_fleet: false,
             membership: Membership::new(me.clone(), settings.link_mbps, &contacts, start_version()),
             loads: PeerLoads::new(Arc::clone(&settings.domain), window_ms),
@@ -496,7 +496,8 @@
             let ranked = (descriptor.rank(), &descriptor.registration);
             domains.entry(&descriptor.registration.domain).or_default().push(ranked);
         }
-        let active = domains.into_values().flat_map(|ranked| active::active(ranked.into_iter()));
+        let active =
+            domains.into_values().flat_map(|ranked| active::active_instances(ranked.into_iter()));
         let front = |registration: &Registration| Front {
             addr: registration.front_addr,
             domain: Arc::clone(&registration.domain),
@@ -505,7 +506,7 @@
         let same_domain = state.membership.alive().map(|member| &member.descriptor).chain([me]);
         let same_domain =
             same_domain.filter(|descriptor| descriptor.registration.domain == self.me.domain);
-        let routing = active::active(
+        let routing = active::active_instances(
             same_domain.map(|descriptor| (descriptor.rank(), &descriptor.registration)),
         );
         let is_routing = routing.iter().any(|registration| registration.id == self.me.id);
--- a/src/gateway/control/exchange.rs
+++ b/src/gateway/control/exchange.rs
@@ -104,13 +104,13 @@
         } else {
             state.too_few_watchers_since_ms.get_or_insert(now_ms);
         }
-        if state.rediscovered.note_directory(is_reachable, now_ms) {
+        if state.rediscovered.update_directory_state(is_reachable, now_ms) {
             slog::info!(self.log, "rediscovered engines dropped; only the directory's list counts");
         }
         state.loads.remove_expired(now_ms);
         state.quarantine.forget(now_ms);
         state.advertised_rates.forget(now_ms);
-        state.departures.forget(now_ms);
+        state.departures.expire(now_ms);
     }
 
     /// Gossips rumors: new ones at once, and each repeated in a few more rounds.
--- a/src/gateway/control/rediscovery.rs
+++ b/src/gateway/control/rediscovery.rs
@@ -13,7 +13,7 @@
 use super::super::channel::Channel;
 use super::super::fleet::Upstream;
 use super::super::membership::{Phase, Rumor};
-use super::super::policy::sought::Sought;
+use super::super::policy::search::SearchList;
 use super::Control;
 
 /// The interval of the search: an engine is back about 1.2 s after its crash.
@@ -25,14 +25,14 @@
 
 impl Control {
     pub(super) async fn search_for_engines(self: Rc<Control>) {
-        let mut search = Sought::default();
+        let mut search = SearchList::default();
         loop {
             tokio::time::sleep(Duration::from_millis(SEARCH_INTERVAL_MS)).await;
             self.update_search(&mut search);
             if !self.is_searcher() {
                 continue;
             }
-            for lost in self.engines(search.due()) {
+            for lost in self.engines(search.next_round()) {
                 let control = Rc::clone(&self);
                 tokio::task::spawn_local(async move { control.check_address(lost).await });
             }
@@ -53,11 +53,11 @@
         before.count() < MAX_SEARCHERS
     }
 
-    fn update_search(&self, search: &mut Sought) {
+    fn update_search(&self, search: &mut SearchList) {
         let mut lost = self.shared.own_lost();
         lost.extend(self.state.borrow().lost.keys().cloned());
         let view = self.shared.view.load();
-        search.note(lost, |id| view.fleet.upstreams.contains_key(id));
+        search.update(lost, |id| view.fleet.upstreams.contains_key(id));
     }
 
     /// The upstreams among `ids` that are engines and are not shutting down.
@@ -65,7 +65,7 @@
         let view = self.shared.view.load();
         let is_engine = |upstream: &&Upstream| {
             let service = view.config.as_ref().and_then(|all| all.services.get(&upstream.service));
-            let leaves = upstream.is_leaving || view.departures.holds(upstream);
+            let leaves = upstream.is_leaving || view.departures.contains(upstream);
             !leaves && service.is_some_and(|service| service.engine.is_some())
         };
         let known = ids.iter().filter_map(|id| view.fleet.upstreams.get(id));
--- a/src/gateway/control/signals.rs
+++ b/src/gateway/control/signals.rs
@@ -75,7 +75,7 @@
         let state = self.state.borrow();
         let update = SignalUpdate {
             rates: state.advertised_rates.all(self.clock.now_ms()),
-            departures: state.departures.all(),
+            departures: state.departures.to_vec(),
             must_forward: false,
         };
         if update.is_empty() {
--- a/src/gateway/stream/relay.rs
+++ b/src/gateway/stream/relay.rs
@@ -56,7 +56,7 @@
         let mut silence = Silence::new(heard_ms);
         loop {
             let quiet_ms = match reading {
-                Some(_) => patience.first_ms,
+                Some(_) => patience.first_event_ms,
                 None if traffic.reading_at(worker) > 0 => patience.reading_gap_ms,
                 None => patience.gap_ms,
             };
@@ -155,12 +155,13 @@
             return Quiet::Wait;
         }
         let since_first_ms = asked_ms.saturating_sub(times.first_ms);
-        if silence::is_put_out(life.sighting(self.job.id()), since_first_ms) {
+        if silence::is_preempted(life.sighting(self.job.id()), since_first_ms) {
             return self.hand_over(worker, "engine put the run out of memory").await;
         }
         let patience = self.patience();
         let is_at_prompts = life.is_reading();
-        let stuck_ms = if is_at_prompts { patience.stuck_reading_ms } else { patience.stuck_ms };
+        let stuck_ms =
+            if is_at_prompts { patience.stalled_reading_ms } else { patience.stalled_ms };
         let stuck_ms = times.heard_ms + stuck_ms;
         tokio::select! {
             frame = body.frame() => Quiet::Frame(frame),
--- a/tests/gateway/decisions.rs
+++ b/tests/gateway/decisions.rs
@@ -1,4 +1,5 @@
-//! The gateway's pure steps: routes, the list of upstreams, placement, repeats, events.
+//! Decisions of the gateway as pure functions: routes, the list of upstreams, placement, repeats,
+//! events.
 
 use std::sync::Arc;
 
@@ -6,10 +7,10 @@
 use siskinrock::gateway::fleet::{Change, Fleet, Upstream};
 use siskinrock::gateway::policy::budget::{Bound, Budget};
 use siskinrock::gateway::policy::engine::Load;
-use siskinrock::gateway::policy::found::Found;
-use siskinrock::gateway::policy::losses::{Loss, Losses, Subject};
+use siskinrock::gateway::policy::losses::{Loss, Losses, QueriedUpstream};
 use siskinrock::gateway::policy::outages::Outages;
 use siskinrock::gateway::policy::placement::{Candidate, Constraints, choose};
+use siskinrock::gateway::policy::rediscovered::Rediscovered;
 use siskinrock::gateway::policy::spread;
 use siskinrock::platform::document;
 use yare::parameterized;
@@ -52,7 +53,7 @@
 }
 
 #[test]
-fn an_older_listing_changes_nothing() {
+fn an_older_list_changes_nothing() {
     let mut fleet = Fleet::default();
     fleet.replace(5, vec![upstream("a", false)], &[], 0);
     assert!(!fleet.replace(4, vec![], &[], 1));
@@ -61,7 +62,7 @@
 }
 
 #[test]
-fn what_lapsed_in_an_outage_has_time_to_come_back() {
+fn entries_that_lapsed_in_an_outage_are_kept_for_a_while() {
     let mut fleet = Fleet::default();
     fleet.replace(5, vec![upstream("a", false), upstream("b", false)], &[], 0);
     fleet.regained(10_000);
@@ -73,14 +74,14 @@
 }
 
 #[test]
-fn an_empty_listing_after_an_outage_empties_nothing_at_once() {
+fn an_empty_list_after_an_outage_removes_nothing_at_once() {
     let mut fleet = Fleet::default();
     fleet.replace(5, vec![upstream("a", false), upstream("gone", true)], &[], 0);
     fleet.regained(1_000);
     fleet.replace(6, vec![], &[], 1_000);
-    assert_eq!(ids(&fleet), ["a"], "what was leaving gets no time");
+    assert_eq!(ids(&fleet), ["a"], "a leaving upstream is not kept");
     fleet.replace(7, vec![], &[], 2_000);
-    assert_eq!(ids(&fleet), ["a"], "a second reading doesn't end the time");
+    assert_eq!(ids(&fleet), ["a"], "a second list doesn't shorten the time");
     fleet.expire(2_900);
     assert!(fleet.upstreams.is_empty());
 }
@@ -98,13 +99,13 @@
         id: id.into(),
         domain: domain.into(),
         load: Load { runs, ..Load::default() },
-        failing: 0.0,
+        failure_rate: 0.0,
         is_suspect: false,
     }
 }
 
 #[test]
-fn instances_with_one_stale_picture_do_not_meet() {
+fn instances_with_the_same_stale_loads_choose_different_engines() {
     let candidates: Vec<Candidate> =
         (0..16).map(|index| candidate(&format!("e{index}"), "hall", 0.0)).collect();
     let mut taken = [0; 16];
@@ -115,15 +116,16 @@
     assert!(taken.iter().all(|count| *count <= 3), "{taken:?}");
 }
 
-/// Two engines have just come back empty, and ten prompts arrive before any instance hears of another's:
-/// none may wait behind more than a few while engines that are hardly worse read nothing.
+/// Two engines have just returned empty, and ten prompts arrive before any instance receives
+/// another's report. No prompt may wait behind more than a few others while engines with little
+/// more load read nothing.
 #[test]
-fn what_others_place_unseen_spreads_a_choice() {
+fn unseen_placements_spread_a_choice() {
     let candidates: Vec<Candidate> = (0..24)
         .map(|index| candidate(&format!("e{index}"), "hall", if index < 2 { 0.0 } else { 1.5 }))
         .collect();
-    // The most prompts at one engine in each of forty rounds.
-    let most_at_one = |unseen| -> Vec<u32> {
+    // The maximum number of prompts at one engine, for each of forty rounds.
+    let max_at_one_engine = |unseen| -> Vec<u32> {
         let round = |round: u64| {
             let mut taken = [0; 24];
             for instance in 0..10 {
@@ -136,17 +138,17 @@
         };
         (0..40).map(round).collect()
     };
-    let with_others = most_at_one(9.0);
+    let with_others = max_at_one_engine(9.0);
     assert!(with_others.iter().sum::<u32>() < 40 * 4, "{with_others:?}");
-    let alone = most_at_one(0.0);
-    assert!(alone.iter().all(|most| *most >= 3), "nothing unseen: loads decide; {alone:?}");
+    let alone = max_at_one_engine(0.0);
+    assert!(alone.iter().all(|most| *most >= 3), "without unseen requests loads decide: {alone:?}");
 }
 
 #[parameterized(
     alone = { &[0.0, 1.0, 2.0], 0.0 },
-    nothing_to_choose_from = { &[], 9.0 },
+    no_candidate = { &[], 9.0 },
     one = { &[3.0], 9.0 },
-    numbers_beyond_sense = { &[0.0, f64::INFINITY], 1e300 },
+    invalid_numbers = { &[0.0, f64::INFINITY], 1e300 },
 )]
 fn a_spread_has_bounds(costs: &[f64], unseen: f64) {
     let spread = spread::spread(costs, unseen);
@@ -157,18 +159,20 @@
 fn suspects_and_lost_domains_are_a_last_resort() {
     let mut random = fastrand::Rng::with_seed(1);
     let mut candidates = vec![candidate("near", "a", 0.0), candidate("far", "b", 20.0)];
-    let constraints = Constraints { not_domains: vec!["a".into()], ..Constraints::default() };
+    let constraints = Constraints { avoided_domains: vec!["a".into()], ..Constraints::default() };
     for _ in 0..50 {
         assert_eq!(choose(&candidates, &constraints, 0.0, &mut random), Some(1));
     }
     candidates[1].is_suspect = true;
     assert_eq!(choose(&candidates, &constraints, 0.0, &mut random), Some(0));
-    let nobody = Constraints { not: vec!["near".into(), "far".into()], ..Constraints::default() };
-    assert_eq!(choose(&candidates, &nobody, 0.0, &mut random), None);
+    let everything_excluded =
+        Constraints { excluded: vec!["near".into(), "far".into()], ..Constraints::default() };
+    assert_eq!(choose(&candidates, &everything_excluded, 0.0, &mut random), None);
 }
 
-/// A service counts repeats in any ten seconds. Counted in steps that were dropped whole, a tenth of
-/// them was forgotten up to a second too early: 663 were sent where 628 were allowed.
+/// Guards against repeats that are forgotten too early. Upstreams count repeats in any interval of
+/// ten seconds; when whole steps were dropped at once, a tenth of the repeats was forgotten up to a
+/// second too early, and 663 were sent where 628 were allowed.
 #[test]
 fn repeats_count_until_the_whole_window_has_passed() {
     let bound = Bound {
@@ -180,16 +184,16 @@
         others_repeats: 0,
     };
     let mut budget = Budget::default();
-    let sent = (0..1_000).filter(|_| budget.repeat(bound, 900)).count();
+    let sent = (0..1_000).filter(|_| budget.try_repeat(bound, 900)).count();
     assert!(sent > 50, "{sent}");
-    assert!(!budget.repeat(bound, 10_800), "9.9 s later");
-    assert!(budget.repeat(bound, 12_000));
-    budget.request(bound, 30_900);
-    assert_eq!(budget.sums(), (1, 0), "what is out of the window");
+    assert!(!budget.try_repeat(bound, 10_800), "9.9 s later");
+    assert!(budget.try_repeat(bound, 12_000));
+    budget.count_request(bound, 30_900);
+    assert_eq!(budget.counts(), (1, 0), "repeats outside the window don't count");
 }
 
 #[test]
-fn repeats_keep_to_the_bound_over_all_instances() {
+fn repeats_stay_within_the_budget_of_all_instances() {
     let mut bound = Bound {
         ratio: 0.8,
         slack: 150.0,
@@ -199,31 +203,31 @@
         others_repeats: 0,
     };
     let mut budget = Budget::default();
-    let allowed = (0..1_000).filter(|_| budget.repeat(bound, 0)).count();
-    assert!(allowed * 3 <= 150, "a third of nine at once stay under the bound: {allowed}");
+    let allowed = (0..1_000).filter(|_| budget.try_repeat(bound, 0)).count();
+    assert!(allowed * 3 <= 150, "three of nine instances at once exceed the budget: {allowed}");
     bound.others_repeats = 130;
-    assert!(!Budget::default().repeat(bound, 0), "the others have taken all");
+    assert!(!Budget::default().try_repeat(bound, 0), "the others have used the budget");
     bound.others_requests = 1_000;
-    assert!(Budget::default().repeat(bound, 0));
+    assert!(Budget::default().try_repeat(bound, 0));
     let many = allowed;
-    let later = (0..1_000).filter(|_| budget.repeat(bound, 11_000)).count();
+    let later = (0..1_000).filter(|_| budget.try_repeat(bound, 11_000)).count();
     assert!(later >= many, "the window has passed");
 }
 
-/// A copy falls with its run if it lies in the same failure domain, so a domain that lost engines
-/// a moment ago is better, and only engines that are likely gone are worse.
+/// A copy in the failure domain of its run is lost together with it. A domain that lost engines a
+/// moment ago is therefore preferred to that one; only engines that are probably lost are worse.
 #[parameterized(
-    apart_from_the_run = { &["own", "lost", "clean"], "clean" },
-    rather_where_engines_were_lost = { &["own", "lost"], "lost" },
-    rather_in_its_own_domain = { &["own", "gone"], "own" },
+    prefers_another_domain = { &["own", "lost", "clean"], "clean" },
+    prefers_a_lost_domain_to_its_own = { &["own", "lost"], "lost" },
+    prefers_its_own_domain_to_a_lost_engine = { &["own", "gone"], "own" },
     only_one = { &["gone"], "gone" },
 )]
-fn a_copy_keeps_away_from_its_run(names: &[&str], expected: &str) {
+fn a_copy_avoids_the_failure_domain_of_its_run(names: &[&str], expected: &str) {
     let mut candidates: Vec<Candidate> =
         names.iter().map(|name| candidate(name, name, 0.0)).collect();
     candidates.iter_mut().for_each(|known| known.is_suspect = &*known.id == "gone");
     let constraints = Constraints {
-        not_domains: vec!["lost".into()],
+        avoided_domains: vec!["lost".into()],
         apart_from: Some("own".into()),
         ..Constraints::default()
     };
@@ -235,39 +239,47 @@
     Loss { service: "plan".into(), domain: "hall".into(), at_ms, is_own }
 }
 
-fn subject(id: &str, alive_ms: u64) -> Subject<'_> {
-    Subject { id, service: "plan", domain: "hall", alive_ms }
+fn queried(id: &str, alive_ms: u64) -> QueriedUpstream<'_> {
+    QueriedUpstream { id, service: "plan", domain: "hall", alive_ms }
 }
 
 #[test]
-fn a_falling_domain_makes_its_engines_doubtful_for_a_moment() {
+fn correlated_losses_make_the_domain_suspected_for_a_moment() {
     let mut losses = Losses::default();
     losses.note(&"a".into(), loss(1_000, true));
-    losses.hear(&"b".into(), loss(1_010, false));
-    assert!(!losses.is_domain_falling(subject("x", 0), 1_020), "two may fail by chance");
-    losses.hear(&"c".into(), loss(1_020, false));
-    assert!(losses.is_domain_falling(subject("x", 0), 1_020));
-    assert!(!losses.is_domain_falling(subject("x", 1_015), 1_020), "it answered meanwhile");
-    assert!(!losses.is_domain_falling(Subject { domain: "far", ..subject("x", 0) }, 1_020));
+    losses.note_reported(&"b".into(), loss(1_010, false));
+    assert!(!losses.has_correlated_losses(queried("x", 0), 1_020), "two may fail by chance");
+    losses.note_reported(&"c".into(), loss(1_020, false));
+    assert!(losses.has_correlated_losses(queried("x", 0), 1_020));
     assert!(
-        !losses.is_domain_falling(subject("x", 0), 2_000),
-        "whoever is not found lost by now lives: half a domain may fall, and the rest is needed"
+        !losses.has_correlated_losses(queried("x", 1_015), 1_020),
+        "it has shown a sign of life since"
     );
-    assert!(losses.is_lost(subject("a", 0)), "what was lost stays lost until it answers");
-    assert!(!losses.is_lost(subject("a", 1_500)));
-    assert!(!losses.is_lost(subject("x", 0)));
+    assert!(
+        !losses.has_correlated_losses(QueriedUpstream { domain: "far", ..queried("x", 0) }, 1_020)
+    );
+    assert!(
+        !losses.has_correlated_losses(queried("x", 0), 2_000),
+        "one not detected as lost by now is alive: half a domain may fail, and the rest is needed"
+    );
+    assert!(losses.is_lost(queried("a", 0)), "a lost upstream stays lost until it answers");
+    assert!(!losses.is_lost(queried("a", 1_500)));
+    assert!(!losses.is_lost(queried("x", 0)));
 }
 
 #[test]
-fn only_own_losses_are_told_and_old_ones_are_forgotten() {
+fn only_own_losses_are_reported_and_old_ones_expire() {
     let mut losses = Losses::default();
     losses.note(&"a".into(), loss(1_000, true));
-    losses.hear(&"b".into(), loss(1_000, false));
-    losses.hear(&"a".into(), loss(3_000, false));
+    losses.note_reported(&"b".into(), loss(1_000, false));
+    losses.note_reported(&"a".into(), loss(3_000, false));
     assert_eq!(losses.own(), [Arc::from("a")]);
-    losses.forget(6_000, |id| id == "b");
-    assert!(!losses.is_lost(subject("a", 0)));
-    assert!(losses.is_lost(subject("b", 0)), "another one has its address for good");
+    losses.expire(6_000, |id| id == "b");
+    assert!(!losses.is_lost(queried("a", 0)));
+    assert!(
+        losses.is_lost(queried("b", 0)),
+        "kept, since another incarnation has its address for good"
+    );
 }
 
 fn at(id: &str, port: u16) -> Upstream {
@@ -275,41 +287,44 @@
 }
 
 #[test]
-fn what_was_found_stands_for_whoever_had_the_address_until_the_directory_tells() {
+fn a_rediscovered_engine_replaces_the_entry_at_its_address_until_the_directory_answers() {
     let mut fleet = Fleet::default();
     fleet.replace(5, vec![at("old", 80), at("other", 81)], &[], 0);
-    let mut found = Found::default();
-    assert!(found.add(at("new", 80)));
-    assert!(!found.add(at("new", 80)), "found again, it is no news");
-    let names = |found: &Found, fleet: &Fleet| -> Vec<String> {
-        found.merge(&fleet.upstreams).keys().map(ToString::to_string).collect()
+    let mut rediscovered = Rediscovered::default();
+    assert!(rediscovered.add(at("new", 80)));
+    assert!(!rediscovered.add(at("new", 80)), "it is already known");
+    let names = |rediscovered: &Rediscovered, fleet: &Fleet| -> Vec<String> {
+        rediscovered.merge(&fleet.upstreams).keys().map(ToString::to_string).collect()
     };
-    assert_eq!(names(&found, &fleet), ["new", "other"]);
-    assert!(found.add(at("newer", 80)), "it crashed once more");
-    assert_eq!(names(&found, &fleet), ["newer", "other"]);
+    assert_eq!(names(&rediscovered, &fleet), ["new", "other"]);
+    assert!(rediscovered.add(at("newer", 80)), "it crashed again");
+    assert_eq!(names(&rediscovered, &fleet), ["newer", "other"]);
     let leaving = Upstream { is_leaving: true, ..at("newer", 80) };
     fleet.apply(6, vec![Change::Put(leaving)], 100);
-    assert!(found.merge(&fleet.upstreams)["newer"].is_leaving, "the directory's word goes first");
-    found.remove("newer");
-    assert_eq!(names(&found, &fleet), ["newer", "old", "other"]);
+    assert!(
+        rediscovered.merge(&fleet.upstreams)["newer"].is_leaving,
+        "the directory's entry takes precedence"
+    );
+    rediscovered.remove("newer");
+    assert_eq!(names(&rediscovered, &fleet), ["newer", "old", "other"]);
 }
 
 #[test]
-fn what_was_found_ends_with_the_time_to_be_listed_again() {
-    let mut found = Found::default();
-    found.add(at("new", 80));
-    assert!(!found.note_directory(false, 0));
-    assert!(!found.note_directory(true, 1_000));
-    assert!(!found.note_directory(false, 1_500), "silent again");
-    assert!(!found.note_directory(true, 3_000));
-    assert!(!found.note_directory(true, 4_800));
-    assert_eq!(found.len(), 1);
-    assert!(found.note_directory(true, 4_900));
-    assert!(found.is_empty());
+fn rediscovered_engines_expire_when_they_could_be_listed_again() {
+    let mut rediscovered = Rediscovered::default();
+    rediscovered.add(at("new", 80));
+    assert!(!rediscovered.update_directory_state(false, 0));
+    assert!(!rediscovered.update_directory_state(true, 1_000));
+    assert!(!rediscovered.update_directory_state(false, 1_500), "unreachable again");
+    assert!(!rediscovered.update_directory_state(true, 3_000));
+    assert!(!rediscovered.update_directory_state(true, 4_800));
+    assert_eq!(rediscovered.len(), 1);
+    assert!(rediscovered.update_directory_state(true, 4_900));
+    assert!(rediscovered.is_empty());
 }
 
 #[test]
-fn only_whole_events_come_out_wherever_the_bytes_are_cut() {
+fn the_splitter_yields_only_whole_events() {
     let text =
         "x-weight-versions: 3\nid: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\ndata: c\n\nid: 4\nda";
     for cut in 0..text.len() {
@@ -323,9 +338,9 @@
     }
 }
 
-/// What one instance tells another brings it to the same list, whichever revision it had.
+/// A delta brings another instance to the same list, whichever revision it had.
 #[test]
-fn a_delta_brings_another_to_the_same_list() {
+fn a_delta_brings_other_instances_to_the_same_list() {
     let mut source = Fleet::default();
     source.replace(5, vec![upstream("a", false), upstream("b", false)], &[], 0);
     let mut others = vec![Fleet::default()];
@@ -351,7 +366,7 @@
 }
 
 #[test]
-fn what_lapsed_elsewhere_expires_here_too() {
+fn entries_that_lapsed_at_another_instance_expire_here_too() {
     let mut source = Fleet::default();
     source.replace(5, vec![upstream("a", false), upstream("b", false)], &[], 0);
     source.regained(1_000);
@@ -363,8 +378,8 @@
     assert_eq!(ids(&other), ["b"]);
 }
 
-/// Callers repeat a refused request once only, so the wait must outlast the outage: as long as the
-/// longest that was seen, and while none was, as long as such outages usually last.
+/// Callers retry a refused request only once, so the retry time must outlast the outage. It assumes
+/// the longest outage seen so far, or a typical duration if there was none.
 #[parameterized(
     unseen = { &[], 0, 25_000, 5_300, 6_300 },
     unseen_and_late = { &[], 4_000, 25_000, 1_300, 2_300 },
@@ -373,7 +388,7 @@
     only_what_callers_honour = { &[], 0, 9_000, 3_000, 3_000 },
     little_time = { &[], 0, 150, 300, 300 },
 )]
-fn a_refusal_outlasts_the_outage(
+fn the_retry_time_outlasts_the_outage(
     seen_ms: &[u64],
     lasts_ms: u64,
     left_ms: u64,
@@ -391,18 +406,22 @@
         now_ms += 20_000;
     }
     let mut random = fastrand::Rng::with_seed(3);
-    assert_eq!(outages.retry_after_ms(&service, left_ms, now_ms, &mut random), None, "it is up");
+    assert_eq!(
+        outages.retry_after_ms(&service, left_ms, now_ms, &mut random),
+        None,
+        "the service is up"
+    );
     outages.note_lost(&service, now_ms);
     outages.note_down(&service, now_ms + 10);
     let mut after_ms = || outages.retry_after_ms(&service, left_ms, now_ms + lasts_ms, &mut random);
     let named: Vec<u64> = (0..200).map(|_| after_ms().unwrap()).collect();
     assert!(named.iter().all(|after| (least_ms..=most_ms).contains(after)), "{named:?}");
     let spread = named.iter().max().unwrap() - named.iter().min().unwrap();
-    assert!(2 * spread >= most_ms - least_ms, "they would all come back at once: {spread} ms");
+    assert!(2 * spread >= most_ms - least_ms, "retry times are not spread: {spread} ms");
 }
 
-/// Upstreams that leave long after the last one was lost did not go with it, and an upstream that
-/// answered before an outage began doesn't end it.
+/// Upstreams that leave long after the last loss did not go with it, and a sign of life from before
+/// an outage does not end it.
 #[test]
 fn an_outage_begins_with_the_last_loss_only_if_that_was_recent() {
     let service: Arc<str> = "plan".into();
