--- a/src/gateway/control.rs
+++ b/src/gateway/control.rs
@@ -35,16 +35,16 @@
 use super::directory::Directory;
 use super::fleet::Fleet;
 use super::instance::Registration;
-use super::loads::{Loads, Part, Told};
-use super::membership::{Membership, Phase, Standing, Versions};
+use super::loads::{PeerLoads, ReportedTraffic, UpstreamSubset};
+use super::membership::{MemberState, Membership, Phase, Versions};
 use super::metrics::Metrics;
 use super::policy::active;
 use super::policy::departures::Departures;
-use super::policy::found::Found;
 use super::policy::lease::{DutyLease, Holder};
 use super::policy::named_rates::AdvertisedRates;
 use super::policy::quarantine::Quarantine;
 use super::policy::rate_limit::Limiter;
+use super::policy::rediscovered::Rediscovered;
 use super::policy::subset::Share;
 use super::policy::usage::{Counter, Usage};
 use super::policy::watchers::{self, Rank};
@@ -66,10 +66,10 @@
     fleet: Fleet,
     /// Restarted engines that were found at their addresses while the directory was unreachable, and that it
     /// does not list yet.
-    rediscovered: Found,
+    rediscovered: Rediscovered,
     has_fleet: bool,
     membership: Membership,
-    loads: Loads,
+    loads: PeerLoads,
     /// Requests that crash upstreams.
     quarantine: Quarantine,
     /// The version of `quarantine` in the published snapshot.
@@ -111,7 +111,7 @@
     /// The sequence number of the last load update.
     load_sequence: u64,
     /// The load that was last reported to peers.
-    reported_load: Told,
+    reported_load: ReportedTraffic,
     /// Whether the last full load update reported no load at all.
     has_reported_no_load: bool,
     /// The versions that were last announced to peers.
@@ -129,7 +129,7 @@
     /// Instances that hold the full upstream list, as reported by peers.
     reported_list_holders: VecDeque<SocketAddr>,
     /// Which part of the upstream list `fleet` holds.
-    held_part: Part,
+    held_part: UpstreamSubset,
     /// Whether a peer had more changes of that part than fit into a message.
     has_missed_changes: bool,
     /// The share of the large services to fetch, if it differs from the share held.
@@ -219,10 +219,10 @@
         let state = ControlState {
             config: None,
             fleet: Fleet::default(),
-            rediscovered: Found::default(),
+            rediscovered: Rediscovered::default(),
             has_fleet: false,
             membership: Membership::new(me.clone(), settings.link_mbps, &contacts, start_version()),
-            loads: Loads::new(Arc::clone(&settings.domain), window_ms),
+            loads: PeerLoads::new(Arc::clone(&settings.domain), window_ms),
             quarantine: Quarantine::default(),
             published_quarantine_version: 0,
             limiter: Limiter::default(),
@@ -243,7 +243,7 @@
             is_watching: false,
             is_outage_local: false,
             load_sequence: 0,
-            reported_load: Told::default(),
+            reported_load: ReportedTraffic::default(),
             has_reported_no_load: false,
             announced_versions: Versions::default(),
             pushed_revisions: VecDeque::new(),
@@ -360,7 +360,7 @@
         let versions = Control::versions(&state);
         let has_working_watch = Control::has_working_watch(&state);
         let share = state.held_part.share;
-        state.membership.set_me(phase, has_working_watch, share, versions);
+        state.membership.update_self(phase, has_working_watch, share, versions);
         self.apply_member_changes(&mut state);
         state.lost.retain(|_, until_ms| *until_ms > now_ms);
         let before = self.shared.view.load();
@@ -383,10 +383,10 @@
             instances: state.membership.alive().count() as u32 + 1,
             share,
             large: state.held_part.large.clone(),
-            others: state.loads.held(),
+            others: state.loads.by_upstream(),
             sent: Arc::new(state.loads.sent(now_ms)),
             lost: Arc::new(state.lost.keys().cloned().collect()),
-            places: state.loads.places(),
+            places: state.loads.cache_locations(),
             quarantine,
             named_rates: state.advertised_rates.clone(),
             departures: state.departures.clone(),
@@ -449,7 +449,8 @@
         }
         let mut upstreams = state.rediscovered.merge(&state.fleet.upstreams).into_owned();
         if !share.is_all() {
-            let holds = shares::holds(&self.me.id, &Part { share, ..state.held_part.clone() });
+            let holds =
+                shares::holds(&self.me.id, &UpstreamSubset { share, ..state.held_part.clone() });
             upstreams.retain(|id, upstream| holds(id, &upstream.service));
         }
         for TemporaryUpstream { upstream, .. } in state.temporary_upstreams.values() {
@@ -467,9 +468,9 @@
         let changed = state.membership.take_changed();
         for id in &changed {
             let Some(member) = state.membership.get(id) else { continue };
-            if member.standing == Standing::Dead {
+            if member.state == MemberState::Dead {
                 slog::info!(self.log, "peer gone"; "peer" => &**id,
-                    "version" => member.card.version);
+                    "version" => member.descriptor.version);
                 self.metrics.count("peers_gone");
                 state.loads.remove(id, now_ms);
             }
@@ -485,23 +486,29 @@
 
     /// Computes which instances accept callers, and which peers receive this instance's load updates.
     fn update_fronts(&self, state: &mut ControlState) {
-        let me = state.membership.my_card();
-        let ready = state.membership.alive().filter(|member| member.standing == Standing::Alive);
-        let ready = ready.map(|member| &member.card).filter(|card| card.phase == Phase::Ready);
+        let me = state.membership.own_descriptor();
+        let ready = state.membership.alive().filter(|member| member.state == MemberState::Alive);
+        let ready = ready
+            .map(|member| &member.descriptor)
+            .filter(|descriptor| descriptor.phase == Phase::Ready);
         let mut domains: BTreeMap<&str, Vec<(Rank, &Registration)>> = BTreeMap::new();
-        for card in ready.chain((state.phase == Phase::Ready).then_some(me)) {
-            let ranked = (card.rank(), &card.registration);
-            domains.entry(&card.registration.domain).or_default().push(ranked);
+        for descriptor in ready.chain((state.phase == Phase::Ready).then_some(me)) {
+            let ranked = (descriptor.rank(), &descriptor.registration);
+            domains.entry(&descriptor.registration.domain).or_default().push(ranked);
         }
-        let active = domains.into_values().flat_map(|ranked| active::active(ranked.into_iter()));
+        let active =
+            domains.into_values().flat_map(|ranked| active::active_instances(ranked.into_iter()));
         let front = |registration: &Registration| Front {
             addr: registration.front_addr,
             domain: Arc::clone(&registration.domain),
         };
         let fronts = active.map(front).collect();
-        let same_domain = state.membership.alive().map(|member| &member.card).chain([me]);
-        let same_domain = same_domain.filter(|card| card.registration.domain == self.me.domain);
-        let routing = active::active(same_domain.map(|card| (card.rank(), &card.registration)));
+        let same_domain = state.membership.alive().map(|member| &member.descriptor).chain([me]);
+        let same_domain =
+            same_domain.filter(|descriptor| descriptor.registration.domain == self.me.domain);
+        let routing = active::active_instances(
+            same_domain.map(|descriptor| (descriptor.rank(), &descriptor.registration)),
+        );
         let is_routing = routing.iter().any(|registration| registration.id == self.me.id);
         let others = routing.into_iter().filter(|registration| registration.id != self.me.id);
         let routing_peers = others.map(|registration| registration.peer_addr).collect();
@@ -514,8 +521,11 @@
     /// for seconds, and as long as one instance believes that its watch works, nobody searches for engines
     /// that the directory does not list.
     fn check_directory_if_suspected(&self, state: &mut ControlState) {
-        let watching_peers =
-            state.membership.alive().filter(|member| member.card.is_first_hand).count();
+        let watching_peers = state
+            .membership
+            .alive()
+            .filter(|member| member.descriptor.is_watching_directory)
+            .count();
         let before = std::mem::replace(&mut state.watching_peers, watching_peers);
         if watchers::should_check_directory(before, watching_peers)
             && Control::has_working_watch(state)
@@ -552,7 +562,8 @@
     /// Whether this instance or a live peer has a working directory watch.
     fn is_directory_reachable(state: &ControlState) -> bool {
         let mut alive = state.membership.alive();
-        Control::has_working_watch(state) || alive.any(|member| member.card.is_first_hand)
+        Control::has_working_watch(state)
+            || alive.any(|member| member.descriptor.is_watching_directory)
     }
 
     /// Whether this instance watches the directory and the directory answers it.
--- a/src/gateway/control/changes.rs
+++ b/src/gateway/control/changes.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use super::super::fleet::{Delta, Upstream};
-use super::super::loads::{Changes, Part};
-use super::super::membership::{Card, ChangesAsk, Message, Versions};
+use super::super::loads::{Changes, UpstreamSubset};
+use super::super::membership::{ChangesQuery, InstanceDescriptor, Message, Versions};
 use super::exchange::BATCH_DELAY_MS;
 use super::{Control, ControlState, shares};
 
@@ -50,10 +50,12 @@
             let since = state.pushed_revisions.front().copied().unwrap_or(0);
             let changes = self.changes_message(&mut state);
             // Peers that hold only a part of the list receive the changes of that part, below.
-            let wants_update = |card: &Card| is_config_new || card.share.is_all();
-            let alive = state.membership.alive().map(|member| &member.card);
-            let same_domain =
-                alive.filter(|card| wants_update(card)).map(|card| &card.registration);
+            let wants_update =
+                |descriptor: &InstanceDescriptor| is_config_new || descriptor.share.is_all();
+            let alive = state.membership.alive().map(|member| &member.descriptor);
+            let same_domain = alive
+                .filter(|descriptor| wants_update(descriptor))
+                .map(|descriptor| &descriptor.registration);
             let same_domain = same_domain.filter(|other| other.domain == self.me.domain);
             let mut addrs: Vec<SocketAddr> = same_domain.map(|other| other.peer_addr).collect();
             fastrand::shuffle(&mut addrs);
@@ -85,7 +87,7 @@
             since: u64::MAX,
             fleet: Delta { revision: fleet, ..Delta::default() },
             holder: self.known_list_holder(state),
-            part: None,
+            subset: None,
         };
         if !state.held_part.share.is_all() {
             return without_changes;
@@ -117,11 +119,11 @@
         let service_of = |id: &Arc<str>| state.fleet.service_of(id);
         let gone: Vec<(Arc<str>, Arc<str>)> =
             delta.gone.iter().filter_map(|id| Some((Arc::clone(id), service_of(id)?))).collect();
-        let members = state.membership.alive().filter(|member| !member.card.share.is_all());
+        let members = state.membership.alive().filter(|member| !member.descriptor.share.is_all());
         let mut parts = Vec::new();
         for member in members {
-            let Card { registration, share, .. } = &member.card;
-            let part = Part { share: *share, large: state.held_part.large.clone() };
+            let InstanceDescriptor { registration, share, .. } = &member.descriptor;
+            let part = UpstreamSubset { share: *share, large: state.held_part.large.clone() };
             let holds = shares::holds(&registration.id, &part);
             let is_held = |upstream: &&Upstream| holds(&upstream.id, &upstream.service);
             let gone = gone.iter().filter(|(id, service)| holds(id, service));
@@ -150,7 +152,7 @@
         state: &ControlState,
         since: u64,
         fleet: Delta,
-        part: Part,
+        part: UpstreamSubset,
     ) -> Changes {
         let fits_message = fits_message(&fleet);
         let without_changes = Delta { revision: fleet.revision, ..Delta::default() };
@@ -160,7 +162,7 @@
             since: if fits_message { since } else { u64::MAX },
             fleet: if fits_message { fleet } else { without_changes },
             holder: None,
-            part: Some(part),
+            subset: Some(part),
         }
     }
 
@@ -175,7 +177,7 @@
             if !has_part || Control::has_working_watch(&state) {
                 continue;
             }
-            let request = ChangesAsk {
+            let request = ChangesQuery {
                 id: Arc::clone(&self.me.id),
                 versions: Control::versions(&state),
                 share: state.held_part.share,
@@ -188,7 +190,7 @@
         }
     }
 
-    pub(super) fn handle_changes_request(&self, request: &ChangesAsk, from: SocketAddr) {
+    pub(super) fn handle_changes_request(&self, request: &ChangesQuery, from: SocketAddr) {
         let state = self.state.borrow();
         let versions = Control::versions(&state);
         let is_newer =
@@ -196,7 +198,7 @@
         if !state.held_part.share.is_all() || !is_newer {
             return;
         }
-        let part = Part { share: request.share, large: state.held_part.large.clone() };
+        let part = UpstreamSubset { share: request.share, large: state.held_part.large.clone() };
         let since = request.versions.fleet;
         let fleet = state.fleet.since_for(since, shares::holds(&request.id, &part));
         let changes = self.part_changes_message(&state, since, fleet, part);
@@ -212,11 +214,11 @@
     ) {
         let mut state = self.state.borrow_mut();
         let versions = Versions { config: changes.config, fleet: changes.fleet.revision };
-        state.membership.note_versions(&changes.from, versions);
-        if let Some(part) = &changes.part {
+        state.membership.set_versions(&changes.from, versions);
+        if let Some(part) = &changes.subset {
             self.adopt_large_services(&mut state, part);
         }
-        let Changes { since, fleet: delta, part, holder, .. } = changes;
+        let Changes { since, fleet: delta, subset: part, holder, .. } = changes;
         if let Some(holder) = holder {
             Control::record_list_holder(&mut state, holder);
         }
--- a/src/gateway/control/directory.rs
+++ b/src/gateway/control/directory.rs
@@ -83,7 +83,7 @@
         let state = self.state.borrow();
         let versions = Control::versions(&state);
         let has_config =
-            state.config.is_some() && versions.config >= state.membership.newest_config();
+            state.config.is_some() && versions.config >= state.membership.newest_config_version();
         (state.has_fleet && state.held_part.share.is_all() && has_config).then_some(versions.fleet)
     }
 
@@ -146,23 +146,24 @@
     }
 
     pub(super) fn turn_of(&self, state: &ControlState) -> WatchPosition {
-        let watching_peers = state.membership.alive().filter(|member| member.card.is_first_hand);
+        let watching_peers =
+            state.membership.alive().filter(|member| member.descriptor.is_watching_directory);
         WatchPosition::of(
-            state.membership.my_rank(),
-            watching_peers.map(|member| member.card.rank()),
+            state.membership.own_rank(),
+            watching_peers.map(|member| member.descriptor.rank()),
         )
     }
 
     /// The factor on the retry pause by rank, so that few instances call an unreachable directory often.
     fn retry_factor(&self) -> u64 {
-        WatchPosition::backoff_factor(self.state.borrow().membership.before_me())
+        WatchPosition::backoff_factor(self.state.borrow().membership.ranked_before_self())
     }
 
     fn should_watch(&self) -> bool {
         let now_ms = self.clock.now_ms();
         let turn = self.turn();
         let state = self.state.borrow();
-        let before_me = state.membership.before_me();
+        let before_me = state.membership.ranked_before_self();
         if !state.has_fleet {
             if !self.has_seeds() {
                 return true;
@@ -342,7 +343,7 @@
         match record {
             Record::Config(config) => self.apply_config(config, "directory"),
             Record::Instance(registration) => {
-                self.state.borrow_mut().membership.contact(&registration);
+                self.state.borrow_mut().membership.add_bootstrap_addr(&registration);
             }
             Record::Crashes(record) => {
                 self.merge_crash_record(record, "directory");
@@ -402,9 +403,9 @@
     pub(super) fn should_register(&self) -> bool {
         let now_ms = self.clock.now_ms();
         let state = self.state.borrow();
-        let others = state.membership.alive().map(|member| member.card.rank());
+        let others = state.membership.alive().map(|member| member.descriptor.rank());
         let knows_others = now_ms >= REGISTER_CHECK_MS || !self.has_seeds();
-        knows_others && watchers::should_register(state.membership.my_rank(), others)
+        knows_others && watchers::should_register(state.membership.own_rank(), others)
     }
 
     fn is_stopping(&self) -> bool {
--- a/src/gateway/control/duties.rs
+++ b/src/gateway/control/duties.rs
@@ -9,7 +9,7 @@
 
 use super::super::directory::Fault;
 use super::super::duties::{CreateOutcome, DutyCalls, Fence, Report};
-use super::super::loads::Held;
+use super::super::loads::UpstreamLoad;
 use super::super::membership::{Message, Phase};
 use super::super::policy::lease::{AcquireAttempt, Action};
 use super::super::policy::scaling::{Scaler, ServiceState, WorkerCounts, WorkerOrder};
@@ -70,9 +70,10 @@
 
     /// The other instances that may hold the lease.
     fn duty_candidates(&self, state: &ControlState) -> Vec<SocketAddr> {
-        let me = (state.membership.my_rank(), self.me.peer_addr);
+        let me = (state.membership.own_rank(), self.me.peer_addr);
         let alive = state.membership.alive();
-        let alive = alive.map(|member| (member.card.rank(), member.card.registration.peer_addr));
+        let alive = alive
+            .map(|member| (member.descriptor.rank(), member.descriptor.registration.peer_addr));
         let mut candidates = watchers::duty_candidates(alive.chain([me]));
         candidates.retain(|addr| *addr != self.me.peer_addr);
         candidates
@@ -123,7 +124,7 @@
         let now_ms = self.clock.now_ms();
         let action = {
             let mut state = self.state.borrow_mut();
-            let before_me = state.membership.before_me();
+            let before_me = state.membership.ranked_before_self();
             let is_candidate =
                 state.phase == Phase::Ready && watchers::is_duty_candidate(before_me);
             let has_it = state.duty_lease.token(now_ms).is_some();
@@ -304,13 +305,13 @@
                 let counted = if upstream.is_leaving { &mut seen.leaving } else { &mut seen.ready };
                 *counted += 1;
             }
-            let held = state.loads.held();
+            let held = state.loads.by_upstream();
             let others = of_service().filter_map(|upstream| held.get(&upstream.id));
-            let is_of_service = |held: &&Held| {
+            let is_of_service = |held: &&UpstreamLoad| {
                 let upstream = state.fleet.upstreams.get(&held.upstream);
                 upstream.is_some_and(|upstream| upstream.service == *name)
             };
-            let all = others.chain(own.held.iter().filter(is_of_service));
+            let all = others.chain(own.loads.iter().filter(is_of_service));
             let tokens: u64 = all.map(|held| held.reserved_tokens).sum();
             let demand_workers = tokens as f64 / memory_tokens as f64;
             let service_state =
--- a/src/gateway/control/exchange.rs
+++ b/src/gateway/control/exchange.rs
@@ -8,8 +8,10 @@
 use tokio::net::UdpSocket;
 
 use super::super::instance::Registration;
-use super::super::loads::{DIGEST_MS, Digest, LoadNews};
-use super::super::membership::{self, Card, GOSSIP_MS, Message, PROBE_MS, Probe, Rumor};
+use super::super::loads::{DIGEST_INTERVAL_MS, Digest, LoadUpdate};
+use super::super::membership::{
+    self, GOSSIP_INTERVAL_MS, InstanceDescriptor, Message, PROBE_INTERVAL_MS, Probe, Rumor,
+};
 use super::super::policy::watchers;
 use super::{Control, ControlState, LOSS_TTL_MS};
 
@@ -41,7 +43,7 @@
 
     /// The live peers in this failure domain.
     pub(super) fn domain_peers(&self, state: &ControlState) -> Vec<SocketAddr> {
-        let alive = state.membership.alive().map(|member| &member.card.registration);
+        let alive = state.membership.alive().map(|member| &member.descriptor.registration);
         let same_domain = alive.filter(|other| other.domain == self.me.domain);
         same_domain.map(|other| other.peer_addr).collect()
     }
@@ -55,10 +57,12 @@
     pub(super) fn one_matching_peer_per_other_domain(
         &self,
         state: &ControlState,
-        matches: impl Fn(&Card) -> bool,
+        matches: impl Fn(&InstanceDescriptor) -> bool,
     ) -> Vec<SocketAddr> {
-        let cards = state.membership.alive().map(|member| &member.card);
-        let alive = cards.filter(|card| matches(card)).map(|card| &card.registration);
+        let descriptors = state.membership.alive().map(|member| &member.descriptor);
+        let alive = descriptors
+            .filter(|descriptor| matches(descriptor))
+            .map(|descriptor| &descriptor.registration);
         let mut other_domains: Vec<&Registration> =
             alive.filter(|other| other.domain != self.me.domain).collect();
         fastrand::shuffle(&mut other_domains);
@@ -81,7 +85,7 @@
             self.fetch_if_behind(now_ms);
             self.send_quarantine_to_one_peer();
             self.send_signals_to_one_peer();
-            tokio::time::sleep(Duration::from_millis(PROBE_MS)).await;
+            tokio::time::sleep(Duration::from_millis(PROBE_INTERVAL_MS)).await;
         }
     }
 
@@ -92,20 +96,21 @@
         state.fleet.expire(now_ms);
         state.temporary_upstreams.retain(|_, temporary| temporary.until_ms > now_ms);
         let is_reachable = Control::is_directory_reachable(&state);
-        let watching_peers = state.membership.alive().filter(|member| member.card.is_first_hand);
+        let watching_peers =
+            state.membership.alive().filter(|member| member.descriptor.is_watching_directory);
         let watching = watching_peers.count() + usize::from(Control::has_working_watch(&state));
         if watchers::has_enough_watchers(watching) {
             state.too_few_watchers_since_ms = None;
         } else {
             state.too_few_watchers_since_ms.get_or_insert(now_ms);
         }
-        if state.rediscovered.note_directory(is_reachable, now_ms) {
+        if state.rediscovered.update_directory_state(is_reachable, now_ms) {
             slog::info!(self.log, "rediscovered engines dropped; only the directory's list counts");
         }
-        state.loads.forget(now_ms);
+        state.loads.remove_expired(now_ms);
         state.quarantine.forget(now_ms);
         state.advertised_rates.forget(now_ms);
-        state.departures.forget(now_ms);
+        state.departures.expire(now_ms);
     }
 
     /// Gossips rumors: new ones at once, and each repeated in a few more rounds.
@@ -115,7 +120,7 @@
             if has_rumors {
                 tokio::select! {
                     () = self.rumors.notified() => {}
-                    () = tokio::time::sleep(Duration::from_millis(GOSSIP_MS)) => {}
+                    () = tokio::time::sleep(Duration::from_millis(GOSSIP_INTERVAL_MS)) => {}
                 }
             } else {
                 self.rumors.notified().await;
@@ -135,15 +140,20 @@
             let now_ms = self.clock.now_ms();
             let own = self.shared.own();
             let mut state = self.state.borrow_mut();
-            state.loads.note_own(&own, now_ms);
-            let Some(change) = state.reported_load.take(own) else { continue };
-            state.loads.note_places(&change.places, now_ms);
+            state.loads.set_own_loads(&own, now_ms);
+            let Some(change) = state.reported_load.take_changes(own) else { continue };
+            state.loads.add_own_cache_locations(&change.cache_locations, now_ms);
             for id in change.lost {
                 self.record_lost(&mut state, id, now_ms);
             }
             let sent = change.sent;
             let update = self.empty_load_update(&mut state);
-            let update = LoadNews { held: change.held, sent, places: change.places, ..update };
+            let update = LoadUpdate {
+                loads: change.loads,
+                sent,
+                cache_locations: change.cache_locations,
+                ..update
+            };
             let routing_peers = state.routing_peers.clone();
             drop(state);
             self.send(&Message::Loads(update), &routing_peers);
@@ -151,17 +161,17 @@
     }
 
     /// An empty load update with the next sequence number.
-    fn empty_load_update(&self, state: &mut ControlState) -> LoadNews {
+    fn empty_load_update(&self, state: &mut ControlState) -> LoadUpdate {
         state.load_sequence += 1;
-        LoadNews {
+        LoadUpdate {
             id: Arc::clone(&self.me.id),
             incarnation: self.me.incarnation,
-            count: state.load_sequence,
-            is_whole: false,
-            held: Vec::new(),
+            sequence: state.load_sequence,
+            is_complete: false,
+            loads: Vec::new(),
             sent: None,
             sent_by_ended: Vec::new(),
-            places: Vec::new(),
+            cache_locations: Vec::new(),
         }
     }
 
@@ -170,15 +180,15 @@
         let now_ms = self.clock.now_ms();
         let own = self.shared.own();
         let mut state = self.state.borrow_mut();
-        let sent_by_ended = state.loads.own_ended(now_ms);
-        let update = LoadNews {
-            is_whole: true,
-            held: own.held,
+        let sent_by_ended = state.loads.observed_ended(now_ms);
+        let update = LoadUpdate {
+            is_complete: true,
+            loads: own.loads,
             sent: Some(own.sent),
             sent_by_ended,
             ..self.empty_load_update(&mut state)
         };
-        let is_idle = update.held.is_empty()
+        let is_idle = update.loads.is_empty()
             && update.sent_by_ended.is_empty()
             && update.sent.iter().flatten().all(|sent| sent.requests + sent.repeats == 0);
         if is_idle && std::mem::replace(&mut state.has_reported_no_load, true) {
@@ -197,7 +207,8 @@
     pub(super) async fn send_digests(self: Rc<Control>) {
         loop {
             let instances = self.state.borrow().routing_peers.len() as u64 + 1;
-            let pause_ms = instances * DIGEST_MS / 2 + fastrand::u64(..=instances * DIGEST_MS);
+            let pause_ms = instances * DIGEST_INTERVAL_MS / 2
+                + fastrand::u64(..=instances * DIGEST_INTERVAL_MS);
             tokio::time::sleep(Duration::from_millis(pause_ms)).await;
             let now_ms = self.clock.now_ms();
             let own = self.shared.own();
@@ -217,7 +228,7 @@
         let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         loop {
             let Ok((length, from)) = socket.recv_from(&mut buffer).await else {
-                tokio::time::sleep(Duration::from_millis(GOSSIP_MS)).await;
+                tokio::time::sleep(Duration::from_millis(GOSSIP_INTERVAL_MS)).await;
                 continue;
             };
             match membership::decode(&buffer[..length]) {
@@ -229,34 +240,39 @@
 
     fn handle_message(self: &Rc<Control>, message: Message, from: SocketAddr) {
         let now_ms = self.clock.now_ms();
-        self.state.borrow_mut().membership.note_heard(now_ms);
+        self.state.borrow_mut().membership.note_received(now_ms);
         match message {
             Message::Ping(probe) => {
-                let sender = &probe.card.registration.id;
+                let sender = &probe.descriptor.registration.id;
                 let is_new = self.state.borrow().membership.get(sender).is_none();
                 if is_new {
                     self.send_quarantine(&[from]);
                 }
                 self.handle_probe(probe, now_ms, |membership, probe| {
-                    membership.hear_ping(probe, from, now_ms, &mut fastrand::Rng::new());
+                    membership.handle_ping(probe, from, now_ms, &mut fastrand::Rng::new());
                 });
             }
             Message::Ack(probe) => self.handle_probe(probe, now_ms, |membership, probe| {
-                membership.hear_ack(probe, now_ms);
+                membership.handle_ack(probe, now_ms);
             }),
             Message::PingOther(probe, target) => {
-                self.state.borrow_mut().membership.hear_ping_other(probe, target, from);
+                self.state.borrow_mut().membership.handle_ping_other(probe, target, from);
                 self.flush();
             }
             Message::Rumors(rumors) => self.handle_rumors(rumors, now_ms),
-            Message::Sums(sums, is_answer) => {
+            Message::Checksums(sums, is_answer) => {
                 let mut state = self.state.borrow_mut();
-                state.membership.hear_sums(&sums, is_answer, from, &mut fastrand::Rng::new());
+                state.membership.handle_checksums(
+                    &sums,
+                    is_answer,
+                    from,
+                    &mut fastrand::Rng::new(),
+                );
                 drop(state);
                 self.flush();
             }
             Message::Members(members) => {
-                self.state.borrow_mut().membership.hear_members(members, now_ms);
+                self.state.borrow_mut().membership.merge_members(members, now_ms);
                 self.signal_membership_changes();
                 self.dirty.notify_one();
             }
@@ -279,7 +295,7 @@
         now_ms: u64,
         handle: impl FnOnce(&mut membership::Membership, Probe),
     ) {
-        let sender = &probe.card.registration;
+        let sender = &probe.descriptor.registration;
         if sender.id == self.me.id && sender.incarnation == self.me.incarnation {
             return;
         }
@@ -301,12 +317,12 @@
     fn handle_rumors(self: &Rc<Control>, rumors: Vec<Rumor>, now_ms: u64) {
         for rumor in rumors {
             match rumor {
-                Rumor::Member { card, standing, by } => {
+                Rumor::Member { descriptor, state: member_state, reporter } => {
                     let mut state = self.state.borrow_mut();
-                    state.membership.hear_of(card, standing, by, now_ms);
+                    state.membership.merge_member(descriptor, member_state, reporter, now_ms);
                 }
                 Rumor::Lost(id) => self.record_lost(&mut self.state.borrow_mut(), id, now_ms),
-                Rumor::Found(upstream) => self.add_rediscovered(upstream),
+                Rumor::Rediscovered(upstream) => self.add_rediscovered(upstream),
                 Rumor::Ended(end) => self.handle_end_report(end, now_ms),
                 Rumor::Crashes(record) => self.handle_crash_record(record),
             }
@@ -324,18 +340,18 @@
         if let Some(upstream) = state.fleet.upstreams.get(&id).cloned() {
             state.quarantine.note_end(&upstream, now_ms);
         }
-        state.membership.tell(Rumor::Lost(id));
+        state.membership.spread(Rumor::Lost(id));
         self.rumors.notify_one();
         self.dirty.notify_one();
     }
 
-    fn handle_load_update(&self, update: LoadNews, now_ms: u64) {
+    fn handle_load_update(&self, update: LoadUpdate, now_ms: u64) {
         let mut state = self.state.borrow_mut();
         let sender = state.membership.get(&update.id);
         let is_same_domain = sender.is_some_and(|sender| {
-            sender.is_alive() && sender.card.registration.domain == self.me.domain
+            sender.is_alive() && sender.descriptor.registration.domain == self.me.domain
         });
-        if is_same_domain && state.loads.hear(update, now_ms) {
+        if is_same_domain && state.loads.apply_update(update, now_ms) {
             self.dirty.notify_one();
         }
     }
@@ -343,8 +359,8 @@
     fn handle_digest(&self, digest: Digest, now_ms: u64) {
         let mut state = self.state.borrow_mut();
         let passed_on =
-            digest.is_passed_on.then(|| Digest { is_passed_on: false, ..digest.clone() });
-        if !state.loads.hear_digest(digest, now_ms) {
+            digest.must_forward.then(|| Digest { must_forward: false, ..digest.clone() });
+        if !state.loads.apply_digest(digest, now_ms) {
             return;
         }
         let routing_peers = state.routing_peers.clone();
--- a/src/gateway/control/fetch.rs
+++ b/src/gateway/control/fetch.rs
@@ -20,7 +20,7 @@
 use super::super::channel::Channel;
 use super::super::fleet::{Delta, Page};
 use super::super::instance::Registration;
-use super::super::loads::Part;
+use super::super::loads::UpstreamSubset;
 use super::super::membership::Member;
 use super::super::policy::subset::{self, Share};
 use super::super::route::Config;
@@ -74,7 +74,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListResponse {
     /// Which part of the list the content covers.
-    pub part: Part,
+    pub part: UpstreamSubset,
     /// The upstreams.
     pub content: ListContent,
 }
@@ -125,7 +125,7 @@
             services.filter(|service| state.held_part.large.contains(*service))
         };
         let share = request.share.unwrap_or_else(|| subset::initial_share(large()));
-        let part = Part { share, large: state.held_part.large.clone() };
+        let part = UpstreamSubset { share, large: state.held_part.large.clone() };
         let holds = shares::holds(&request.id, &part);
         if request.since > 0 && request.after.is_empty() {
             let delta = state.fleet.since_for(request.since, &holds);
@@ -275,7 +275,7 @@
     ) -> Option<SocketAddr> {
         let candidates = state.membership.alive().filter(|member| matches(member));
         let candidates: Vec<&Registration> =
-            candidates.map(|member| &member.card.registration).collect();
+            candidates.map(|member| &member.descriptor.registration).collect();
         let is_same_domain = |other: &&&Registration| other.domain == self.me.domain;
         let same_domain: Vec<&Registration> =
             candidates.iter().filter(is_same_domain).copied().collect();
@@ -292,7 +292,7 @@
         }
         let known = Control::versions(state).fleet;
         let holds_newer =
-            |member: &Member| member.card.share.is_all() && member.versions.fleet > known;
+            |member: &Member| member.descriptor.share.is_all() && member.versions.fleet > known;
         let holds_only_part = !state.held_part.share.is_all();
         if state.has_fleet && state.wanted_share.is_none() && !holds_only_part {
             return self.fetch_source(state, holds_newer);
@@ -332,7 +332,11 @@
 
     /// The addresses of the live peers that should hold the full list by their rank.
     pub(super) fn list_holders(state: &ControlState) -> impl Iterator<Item = SocketAddr> {
-        state.membership.keepers().into_iter().map(|member| member.card.registration.peer_addr)
+        state
+            .membership
+            .full_list_holders()
+            .into_iter()
+            .map(|member| member.descriptor.registration.peer_addr)
     }
 
     fn apply_pages(&self, pages: Pages, from: SocketAddr) {
@@ -353,7 +357,13 @@
     }
 
     /// Applies fetched changes since a revision.
-    fn apply_changes_since(&self, since: u64, delta: Delta, part: &Part, from: SocketAddr) {
+    fn apply_changes_since(
+        &self,
+        since: u64,
+        delta: Delta,
+        part: &UpstreamSubset,
+        from: SocketAddr,
+    ) {
         let mut state = self.state.borrow_mut();
         self.adopt_large_services(&mut state, part);
         state.has_missed_changes = false;
@@ -394,7 +404,7 @@
 #[derive(Debug, Default)]
 struct Pages {
     /// The part that the first page covers; all pages are requested for its share.
-    part: Option<Part>,
+    part: Option<UpstreamSubset>,
     /// The oldest revision of the pages.
     revision: u64,
     pages: Vec<Page>,
@@ -402,7 +412,7 @@
 
 impl Pages {
     /// Adds the next page. Returns whether it was the last one.
-    fn add(&mut self, part: Part, page: Page) -> bool {
+    fn add(&mut self, part: UpstreamSubset, page: Page) -> bool {
         let is_first = self.part.is_none();
         self.part.get_or_insert(part);
         self.revision = if is_first { page.revision } else { self.revision.min(page.revision) };
--- a/src/gateway/control/permits.rs
+++ b/src/gateway/control/permits.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use super::super::membership::{Message, PermitAsk, Phase, Standing};
+use super::super::membership::{MemberState, Message, PermitQuery, Phase};
 use super::super::policy::rate_limit::{self, Liveness};
 use super::super::rate::{Permit, Rate};
 use super::super::view::PermitRequest;
@@ -30,27 +30,27 @@
         let number = state.last_permit_number;
         state.pending_permits.insert(number, answer);
         drop(state);
-        self.send(&Message::AskPermit(PermitAsk { number, upstream, rate }), &[owner]);
+        self.send(&Message::AskPermit(PermitQuery { number, upstream, rate }), &[owner]);
     }
 
     /// The address of the owner of an upstream's bucket; `None` if this instance is the owner.
     fn bucket_owner(&self, state: &ControlState, upstream: &str) -> Option<SocketAddr> {
         let is_eligible = |phase: Phase| phase != Phase::Starting;
-        let others = state
-            .membership
-            .alive()
-            .filter(|member| member.standing == Standing::Alive && is_eligible(member.card.phase));
-        let ids = others.map(|member| &member.card.registration.id);
+        let others = state.membership.alive().filter(|member| {
+            member.state == MemberState::Alive && is_eligible(member.descriptor.phase)
+        });
+        let ids = others.map(|member| &member.descriptor.registration.id);
         let me = is_eligible(state.phase).then_some(&self.me.id);
         let owner = rate_limit::bucket_owner(upstream, ids.chain(me))?;
         let owner = state.membership.get(owner)?;
-        Some(owner.card.registration.peer_addr)
+        Some(owner.descriptor.registration.peer_addr)
     }
 
     fn grant(&self, state: &mut ControlState, upstream: &Arc<str>, rate: Rate) -> Permit {
         let now_ms = self.clock.now_ms();
         let alive = state.membership.alive().count() + 1;
-        let silent = state.membership.silent_since(now_ms.saturating_sub(SILENT_MAYBE_ALIVE_MS));
+        let silent =
+            state.membership.unplanned_deaths_since(now_ms.saturating_sub(SILENT_MAYBE_ALIVE_MS));
         let permit =
             state.limiter.request_permit(upstream, rate, Liveness { alive, silent }, now_ms);
         self.metrics.count(match permit {
@@ -60,7 +60,7 @@
         permit
     }
 
-    pub(super) fn handle_permit_request(&self, request: PermitAsk, from: SocketAddr) {
+    pub(super) fn handle_permit_request(&self, request: PermitQuery, from: SocketAddr) {
         let permit = self.grant(&mut self.state.borrow_mut(), &request.upstream, request.rate);
         self.send(&Message::Permit(request.number, permit), &[from]);
     }
--- a/src/gateway/control/quarantine.rs
+++ b/src/gateway/control/quarantine.rs
@@ -41,7 +41,7 @@
     fn gossip_ends(&self) {
         let mut state = self.state.borrow_mut();
         for end in state.quarantine.take_early_crashes() {
-            state.membership.tell(Rumor::Ended(end));
+            state.membership.spread(Rumor::Ended(end));
         }
         drop(state);
         self.rumors.notify_one();
@@ -52,7 +52,7 @@
         let mut state = self.state.borrow_mut();
         let Some(upstream) = state.fleet.upstreams.get(&end.upstream).cloned() else { return };
         if state.quarantine.note_early_crash(&upstream, end.fingerprint, now_ms) {
-            state.membership.tell(Rumor::Ended(end));
+            state.membership.spread(Rumor::Ended(end));
             drop(state);
             self.rumors.notify_one();
         }
@@ -162,7 +162,7 @@
             return;
         }
         for record in changed {
-            state.membership.tell(Rumor::Crashes(record));
+            state.membership.spread(Rumor::Crashes(record));
         }
         drop(state);
         self.publish();
@@ -185,8 +185,11 @@
         if state.quarantine.is_empty() {
             return;
         }
-        let alive: Vec<SocketAddr> =
-            state.membership.alive().map(|member| member.card.registration.peer_addr).collect();
+        let alive: Vec<SocketAddr> = state
+            .membership
+            .alive()
+            .map(|member| member.descriptor.registration.peer_addr)
+            .collect();
         drop(state);
         if let Some(addr) = fastrand::choice(alive) {
             self.send_quarantine(&[addr]);
--- a/src/gateway/control/shares.rs
+++ b/src/gateway/control/shares.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 
 use super::super::fleet::Upstream;
-use super::super::loads::Part;
+use super::super::loads::UpstreamSubset;
 use super::super::membership::Message;
 use super::super::policy::subset::{self, InstanceSubset, Share};
 use super::super::policy::watchers;
@@ -28,7 +28,7 @@
 impl Control {
     /// Adopts the set of large services from an instance that holds all upstreams: narrows services that became
     /// large to this instance's share, and requests a fetch for those that no longer are.
-    pub(super) fn adopt_large_services(&self, state: &mut ControlState, reported: &Part) {
+    pub(super) fn adopt_large_services(&self, state: &mut ControlState, reported: &UpstreamSubset) {
         if state.held_part.large == reported.large {
             return;
         }
@@ -70,7 +70,7 @@
         if !state.has_fleet || state.held_part.large.is_empty() || state.wanted_share.is_some() {
             return;
         }
-        let before_me = state.membership.before_me();
+        let before_me = state.membership.ranked_before_self();
         let instances = state.membership.alive().count() + 1;
         let share = state.held_part.share;
         if watchers::holds_all(before_me) {
@@ -151,9 +151,9 @@
 }
 
 /// A predicate on an upstream's id and service: whether an instance with this part holds the upstream.
-pub(super) fn holds(instance: &str, part: &Part) -> impl Fn(&str, &str) -> bool + use<> {
+pub(super) fn holds(instance: &str, part: &UpstreamSubset) -> impl Fn(&str, &str) -> bool + use<> {
     let holder = InstanceSubset::new(instance);
-    let Part { share, large } = part.clone();
+    let UpstreamSubset { share, large } = part.clone();
     move |id, service| !large.contains(service) || holder.holds(id, share)
 }
 
@@ -165,6 +165,6 @@
 }
 
 /// The part of the list that an instance holds before it has received any: all of it.
-pub(super) fn full_part() -> Part {
-    Part { share: Share::ALL, large: BTreeSet::new() }
+pub(super) fn full_part() -> UpstreamSubset {
+    UpstreamSubset { share: Share::ALL, large: BTreeSet::new() }
 }
--- a/src/gateway/control/signals.rs
+++ b/src/gateway/control/signals.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use super::super::membership::{Message, SignalNews};
+use super::super::membership::{Message, SignalUpdate};
 use super::super::rate::AdvertisedRate;
 use super::super::view::Signal;
 use super::{Control, ControlState};
@@ -15,13 +15,13 @@
             self.shared.signalled.notified().await;
             for signal in self.shared.take_signals() {
                 match signal {
-                    Signal::Rate(upstream, rate) => self.record_and_send(SignalNews {
+                    Signal::Rate(upstream, rate) => self.record_and_send(SignalUpdate {
                         rates: vec![AdvertisedRate { upstream, rate, age_ms: 0 }],
-                        ..SignalNews::default()
+                        ..SignalUpdate::default()
                     }),
-                    Signal::Departure(departure) => self.record_and_send(SignalNews {
+                    Signal::Departure(departure) => self.record_and_send(SignalUpdate {
                         departures: vec![departure],
-                        ..SignalNews::default()
+                        ..SignalUpdate::default()
                     }),
                     Signal::PermitWanted(request) => self.request_permit(request),
                     Signal::NoUpstreamLeft => self.widen_share(),
@@ -32,30 +32,34 @@
     }
 
     /// Records what an upstream announced to this instance, and sends it to all other instances if it is new.
-    fn record_and_send(&self, update: SignalNews) {
+    fn record_and_send(&self, update: SignalUpdate) {
         let mut state = self.state.borrow_mut();
         let Some(update) = self.record_new(&mut state, update) else { return };
         let same_domain = self.domain_peers(&state);
         let other_domains = self.one_peer_per_other_domain(&state);
         drop(state);
         self.send(&Message::Signals(update.clone()), &same_domain);
-        self.send(&Message::Signals(SignalNews { is_passed_on: true, ..update }), &other_domains);
+        self.send(&Message::Signals(SignalUpdate { must_forward: true, ..update }), &other_domains);
     }
 
     /// Records what an upstream announced to a peer, and forwards it within this failure domain if it is new and
     /// came from another domain.
-    pub(super) fn handle_signal_update(&self, update: SignalNews) {
+    pub(super) fn handle_signal_update(&self, update: SignalUpdate) {
         let mut state = self.state.borrow_mut();
         let Some(mut update) = self.record_new(&mut state, update) else { return };
         let same_domain = self.domain_peers(&state);
         drop(state);
-        if std::mem::take(&mut update.is_passed_on) {
+        if std::mem::take(&mut update.must_forward) {
             self.send(&Message::Signals(update), &same_domain);
         }
     }
 
     /// Records what is new, and returns it.
-    fn record_new(&self, state: &mut ControlState, mut update: SignalNews) -> Option<SignalNews> {
+    fn record_new(
+        &self,
+        state: &mut ControlState,
+        mut update: SignalUpdate,
+    ) -> Option<SignalUpdate> {
         let now_ms = self.clock.now_ms();
         update.rates.retain(|rate| state.advertised_rates.note(rate, now_ms));
         update.departures.retain(|departure| state.departures.note(departure, now_ms));
@@ -69,16 +73,19 @@
     /// Sends everything known to one live peer: messages may have been lost, or the peer may have just started.
     pub(super) fn send_signals_to_one_peer(&self) {
         let state = self.state.borrow();
-        let update = SignalNews {
+        let update = SignalUpdate {
             rates: state.advertised_rates.all(self.clock.now_ms()),
-            departures: state.departures.all(),
-            is_passed_on: false,
+            departures: state.departures.to_vec(),
+            must_forward: false,
         };
         if update.is_empty() {
             return;
         }
-        let alive: Vec<SocketAddr> =
-            state.membership.alive().map(|member| member.card.registration.peer_addr).collect();
+        let alive: Vec<SocketAddr> = state
+            .membership
+            .alive()
+            .map(|member| member.descriptor.registration.peer_addr)
+            .collect();
         drop(state);
         if let Some(addr) = fastrand::choice(alive) {
             self.send(&Message::Signals(update), &[addr]);
--- a/src/gateway/membership/rumors.rs
+++ b/src/gateway/membership/rumors.rs
@@ -1,4 +1,5 @@
-//! What spreads from instance to instance, each piece a bounded number of times.
+//! The queue of rumors: updates that spread from instance to instance, each sent a bounded number of
+//! times.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -8,48 +9,51 @@
 use super::super::crash::{CrashRecord, EarlyCrash};
 use super::super::fingerprint::Fingerprint;
 use super::super::fleet::Upstream;
-use super::card::{Card, Standing};
+use super::descriptor::{InstanceDescriptor, MemberState};
 
-/// The pause between two rounds of telling the same rumor: long enough for those who heard the first
-/// one to have told others.
-pub const GOSSIP_MS: u64 = 60;
-/// Instances that are told in one round.
-pub(super) const FANOUT: usize = 4;
-/// The most rumors in one message, so that it stays under 4 KB.
-const MOST_IN_MESSAGE: usize = 32;
-/// The most arrivals that are told at once: in a start of the whole fleet, each instance would repeat the
-/// arrival of all others many times. Those left out come to light when members compare what they know.
-const MOST_ARRIVALS: usize = 2 * MOST_IN_MESSAGE;
+/// Interval between two rounds that send the same rumor, in milliseconds: long enough for the
+/// receivers of one round to have passed it on.
+pub const GOSSIP_INTERVAL_MS: u64 = 60;
+/// Maximum number of instances of the same failure domain that one gossip round is sent to.
+pub(super) const GOSSIP_FANOUT: usize = 4;
+/// Maximum number of rumors in one message, which keeps it below 4 KB.
+const MAX_RUMORS_PER_MESSAGE: usize = 32;
+/// Maximum number of queued rumors about arrivals. When the whole fleet starts at once, each instance
+/// would otherwise repeat the arrival of all others many times. Members find those left out by
+/// comparing what they know.
+const MAX_QUEUED_ARRIVALS: usize = 2 * MAX_RUMORS_PER_MESSAGE;
 
-/// A piece of news that all instances should have soon.
+/// An update that all instances should receive soon.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Rumor {
-    /// How an instance stands.
+    /// The state of an instance.
     #[serde(rename = "m")]
     Member {
-        /// What it said of itself.
-        card: Card,
-        /// Whether it is thought to live.
-        standing: Standing,
-        /// Who says so, of a suspicion.
-        by: Arc<str>,
+        /// What the instance last published about itself.
+        descriptor: InstanceDescriptor,
+        /// Whether it is believed to be alive.
+        state: MemberState,
+        /// Id of the instance that reports this; used only for a suspicion.
+        reporter: Arc<str>,
     },
     /// An upstream was lost.
     Lost(Arc<str>),
-    /// An engine was found at its address while the directory is silent.
-    Found(Upstream),
-    /// An upstream ended under a run that had just begun.
+    /// An engine was rediscovered at its address under another incarnation, while the directory did
+    /// not answer.
+    #[serde(rename = "Found")]
+    Rediscovered(Upstream),
+    /// An upstream ended while it ran a request that it had just begun.
     Ended(EarlyCrash),
-    /// A request crashed upstreams, or was cleared.
+    /// A request crashed upstreams, or was cleared of that.
     Crashes(CrashRecord),
 }
 
-/// What a rumor is about; a newer one about the same replaces it.
+/// What a rumor is about; a newer rumor replaces the queued one about the same subject.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 enum Subject {
     Member(Arc<str>),
     Lost(Arc<str>),
-    Found(Arc<str>),
+    Rediscovered(Arc<str>),
     Ended(EarlyCrash),
     Crashes(Fingerprint),
 }
@@ -57,47 +61,51 @@
 impl Rumor {
     fn subject(&self) -> Subject {
         match self {
-            Rumor::Member { card, .. } => Subject::Member(Arc::clone(&card.registration.id)),
+            Rumor::Member { descriptor, .. } => {
+                Subject::Member(Arc::clone(&descriptor.registration.id))
+            }
             Rumor::Lost(id) => Subject::Lost(Arc::clone(id)),
-            Rumor::Found(upstream) => Subject::Found(Arc::clone(&upstream.id)),
+            Rumor::Rediscovered(upstream) => Subject::Rediscovered(Arc::clone(&upstream.id)),
             Rumor::Ended(end) => Subject::Ended(end.clone()),
-            Rumor::Crashes(told) => Subject::Crashes(told.fingerprint),
+            Rumor::Crashes(record) => Subject::Crashes(record.fingerprint),
         }
     }
 }
 
 #[derive(Debug)]
-struct Pending {
+struct QueuedRumor {
     rumor: Rumor,
     rounds_left: u32,
     is_arrival: bool,
 }
 
-/// The rumors that this instance still tells.
+/// The rumors that this instance still sends.
 #[derive(Debug, Default)]
-pub struct Rumors {
-    pending: BTreeMap<Subject, Pending>,
+pub struct RumorQueue {
+    pending: BTreeMap<Subject, QueuedRumor>,
 }
 
-impl Rumors {
-    /// Takes up a rumor, to be told in so many rounds that all of a fleet have very likely heard it.
+impl RumorQueue {
+    /// Queues a rumor for as many rounds as it takes to reach all instances of a fleet with high
+    /// probability.
     pub fn add(&mut self, rumor: Rumor, instances: usize) {
-        let rounds_left = rounds(instances);
-        self.pending.insert(rumor.subject(), Pending { rumor, rounds_left, is_arrival: false });
+        let rounds_left = rounds_for(instances);
+        self.pending.insert(rumor.subject(), QueuedRumor { rumor, rounds_left, is_arrival: false });
     }
 
-    /// Takes up the rumor that an instance lives, unless there are too many of the kind.
+    /// Queues a rumor that an instance is alive, unless too many of this kind are queued.
     pub fn add_arrival(&mut self, rumor: Rumor, instances: usize) {
         let subject = rumor.subject();
         let arrivals = self.pending.values().filter(|pending| pending.is_arrival).count();
-        if arrivals < MOST_ARRIVALS || self.pending.contains_key(&subject) {
-            let rounds_left = rounds(instances);
-            self.pending.insert(subject, Pending { rumor, rounds_left, is_arrival: true });
+        if arrivals < MAX_QUEUED_ARRIVALS || self.pending.contains_key(&subject) {
+            let rounds_left = rounds_for(instances);
+            self.pending.insert(subject, QueuedRumor { rumor, rounds_left, is_arrival: true });
         }
     }
 
-    /// Notes that another instance told the same: it need not be told as often from here.
-    pub fn heard(&mut self, rumor: &Rumor) {
+    /// Records that another instance sent the same rumor, so that this one sends it in one round
+    /// less.
+    pub fn note_duplicate(&mut self, rumor: &Rumor) {
         let subject = rumor.subject();
         let Some(pending) = self.pending.get_mut(&subject) else { return };
         if pending.rumor != *rumor {
@@ -109,32 +117,32 @@
         }
     }
 
-    /// Whether there is nothing to tell.
+    /// Whether no rumor is queued.
     pub fn is_empty(&self) -> bool {
         self.pending.is_empty()
     }
 
-    /// What is told in the next round: those told least often first.
-    pub fn round(&mut self) -> Vec<Rumor> {
-        let mut due: Vec<&mut Pending> = self.pending.values_mut().collect();
+    /// The rumors for the next round; those sent least often come first.
+    pub fn next_round(&mut self) -> Vec<Rumor> {
+        let mut due: Vec<&mut QueuedRumor> = self.pending.values_mut().collect();
         due.sort_by_key(|pending| std::cmp::Reverse(pending.rounds_left));
-        let mut told = Vec::new();
-        for pending in due.into_iter().take(MOST_IN_MESSAGE) {
+        let mut sent = Vec::new();
+        for pending in due.into_iter().take(MAX_RUMORS_PER_MESSAGE) {
             pending.rounds_left -= 1;
-            told.push(pending.rumor.clone());
+            sent.push(pending.rumor.clone());
         }
         self.pending.retain(|_, pending| pending.rounds_left > 0);
-        told
+        sent
     }
 }
 
-/// Rounds until everyone has heard, if each tells so many others in each, and one for those that
-/// were lost on the way.
-fn rounds(instances: usize) -> u32 {
-    let mut heard = 1;
+/// Number of rounds until a rumor has reached all instances if each instance sends it to [`GOSSIP_FANOUT`]
+/// others per round, and one more round for lost messages.
+fn rounds_for(instances: usize) -> u32 {
+    let mut reached = 1;
     let mut rounds = 1;
-    while heard < instances {
-        heard *= FANOUT + 1;
+    while reached < instances {
+        reached *= GOSSIP_FANOUT + 1;
         rounds += 1;
     }
     rounds
--- a/src/gateway/policy/budget.rs
+++ b/src/gateway/policy/budget.rs
@@ -1,18 +1,20 @@
-//! The bound on repeats of a service in a sliding window, over all instances.
+//! Budget for the repeats of a service over a sliding window, shared by all instances.
 //!
-//! All instances together may send a service so many repeats for its requests, and a few more.
-//! They tell each other what they sent. What others tell is late, and after a crash all repeat in
-//! the same moment, so each also keeps to a few times its own part.
+//! A repeat is any attempt at a request after its first one. All instances together may send a
+//! service a fixed ratio of repeats to requests, plus a fixed slack. Instances report to each other
+//! what they sent. These reports arrive late, and after a crash all instances repeat at the same
+//! moment, so each instance is also limited to a few times its own share.
 
 use std::collections::VecDeque;
 
-/// The part of the bound that is used: where most engines refuse, instances of other failure domains
-/// repeat for some hundred milliseconds before this one hears of it, a fifth of all in a window and more.
-const USED: f64 = 0.75;
-/// Into how many steps the window is divided.
-const STEPS: u64 = 10;
+/// Fraction of the budget that is used. Where most engines refuse requests, instances of other
+/// failure domains repeat for some hundred milliseconds before this one receives their reports: a
+/// fifth of all repeats in a window, or more.
+const USED_FRACTION: f64 = 0.75;
+/// Number of steps that the window is divided into.
+const STEPS_PER_WINDOW: u64 = 10;
 
-/// What one instance sent to one service in the window.
+/// Requests and repeats that one instance sent to one service within the window.
 #[derive(Debug, Default)]
 pub struct Budget {
     steps: VecDeque<Step>,
@@ -20,78 +22,81 @@
 
 #[derive(Debug, Clone, Copy)]
 struct Step {
-    number: u64,
+    index: u64,
     requests: u64,
     repeats: u64,
 }
 
-/// The bound over all instances.
+/// The limit for all instances together, and what the others have used of it.
 #[derive(Debug, Clone, Copy)]
 pub struct Bound {
-    /// Repeats for each request.
+    /// Repeats allowed for each request.
     pub ratio: f64,
-    /// Repeats beyond that.
+    /// Repeats allowed in addition.
     pub slack: f64,
-    /// The window.
+    /// Length of the window.
     pub window_ms: u64,
-    /// Among how many instances it is divided.
+    /// Number of instances that share the budget.
     pub instances: u32,
-    /// Requests that the others sent in the window.
+    /// Requests that the other instances sent within the window.
     pub others_requests: u64,
-    /// Repeats that the others sent in the window.
+    /// Repeats that the other instances sent within the window.
     pub others_repeats: u64,
 }
 
-/// How many times its own part an instance may take: losses are uneven, and so many are still
-/// under the bound if a third of the instances took as much at once.
-const PARTS: f64 = 3.0;
-/// Repeats that each instance may always make while the sum allows it.
-const LEAST: f64 = 4.0;
+/// Upper bound on the repeats of one instance, as a multiple of its equal share. Losses are uneven;
+/// with this factor, a third of the instances can reach their bound at once and the total stays
+/// within the budget.
+const MAX_SHARE_FACTOR: f64 = 3.0;
+/// Number of repeats that each instance may always send while the total allows it.
+const MIN_REPEATS: f64 = 4.0;
 
 impl Budget {
     /// Counts a request.
-    pub fn request(&mut self, bound: Bound, now_ms: u64) {
-        self.step(bound, now_ms).requests += 1;
+    pub fn count_request(&mut self, bound: Bound, now_ms: u64) {
+        self.current_step(bound, now_ms).requests += 1;
     }
 
-    /// Counts a repeat, if the bound allows one.
-    pub fn repeat(&mut self, bound: Bound, now_ms: u64) -> bool {
-        if !self.has_repeat(bound, now_ms) {
+    /// Counts a repeat if the budget allows one; returns whether it does.
+    pub fn try_repeat(&mut self, bound: Bound, now_ms: u64) -> bool {
+        if !self.allows_repeat(bound, now_ms) {
             return false;
         }
-        self.step(bound, now_ms).repeats += 1;
+        self.current_step(bound, now_ms).repeats += 1;
         true
     }
 
-    /// Whether the bound allows one more repeat.
-    pub fn has_repeat(&mut self, bound: Bound, now_ms: u64) -> bool {
-        self.step(bound, now_ms);
-        let (requests, repeats) = self.sums();
+    /// Whether the budget allows one more repeat.
+    pub fn allows_repeat(&mut self, bound: Bound, now_ms: u64) -> bool {
+        self.current_step(bound, now_ms);
+        let (requests, repeats) = self.counts();
         let all_requests = requests + bound.others_requests;
-        let most = USED * (bound.ratio * all_requests as f64 + bound.slack);
-        let own_part = most / f64::from(bound.instances.max(1));
-        let is_within_all = (repeats + bound.others_repeats + 1) as f64 <= most;
-        let is_within_own = (repeats + 1) as f64 <= (own_part * PARTS).max(LEAST);
-        is_within_all && is_within_own
+        let limit = USED_FRACTION * (bound.ratio * all_requests as f64 + bound.slack);
+        let own_share = limit / f64::from(bound.instances.max(1));
+        let is_within_total = (repeats + bound.others_repeats + 1) as f64 <= limit;
+        let is_within_share =
+            (repeats + 1) as f64 <= (own_share * MAX_SHARE_FACTOR).max(MIN_REPEATS);
+        is_within_total && is_within_share
     }
 
-    /// Requests and repeats in the window. Upstreams count repeats in any span of its length, so the
-    /// step that is partly out of it counts whole; requests of that step don't.
-    pub fn sums(&self) -> (u64, u64) {
-        let newest = self.steps.back().map_or(0, |step| step.number);
-        let is_in = |step: &&Step| step.number + STEPS > newest;
+    /// Returns the requests and the repeats in the window. Upstreams count repeats in any interval
+    /// of the window's length, so the repeats of the step that lies only partly in the window count
+    /// in full; its requests do not.
+    pub fn counts(&self) -> (u64, u64) {
+        let newest = self.steps.back().map_or(0, |step| step.index);
+        let is_in = |step: &&Step| step.index + STEPS_PER_WINDOW > newest;
         let requests = self.steps.iter().filter(is_in).map(|step| step.requests).sum();
         let repeats = self.steps.iter().map(|step| step.repeats).sum();
         (requests, repeats)
     }
 
-    fn step(&mut self, bound: Bound, now_ms: u64) -> &mut Step {
-        let number = now_ms / (bound.window_ms / STEPS).max(1);
-        while self.steps.front().is_some_and(|step| step.number + STEPS < number) {
+    fn current_step(&mut self, bound: Bound, now_ms: u64) -> &mut Step {
+        let index = now_ms / (bound.window_ms / STEPS_PER_WINDOW).max(1);
+        while self.steps.front().is_some_and(|step| step.index + STEPS_PER_WINDOW < index) {
             self.steps.pop_front();
         }
-        if self.steps.back().is_none_or(|step| step.number != number) {
-            self.steps.push_back(Step { number, requests: 0, repeats: 0 });
+        if self.steps.back().is_none_or(|step| step.index != index) {
+            self.steps.push_back(Step { index, requests: 0, repeats: 0 });
         }
         self.steps.back_mut().expect("a step was just pushed")
     }
--- a/src/gateway/traffic/budgets.rs
+++ b/src/gateway/traffic/budgets.rs
@@ -14,7 +14,7 @@
         let bound = self.bound(service);
         let now_ms = self.now_ms();
         let mut budgets = self.budgets.borrow_mut();
-        budgets.entry(Arc::clone(service)).or_default().request(bound, now_ms);
+        budgets.entry(Arc::clone(service)).or_default().count_request(bound, now_ms);
     }
 
     /// Takes one repeat to a service, if the bound allows it.
@@ -22,7 +22,7 @@
         let bound = self.bound(service);
         let now_ms = self.now_ms();
         let mut budgets = self.budgets.borrow_mut();
-        budgets.entry(Arc::clone(service)).or_default().repeat(bound, now_ms)
+        budgets.entry(Arc::clone(service)).or_default().try_repeat(bound, now_ms)
     }
 
     /// Whether the bound allows a repeat to a service now.
@@ -30,7 +30,7 @@
         let bound = self.bound(service);
         let now_ms = self.now_ms();
         let mut budgets = self.budgets.borrow_mut();
-        budgets.entry(Arc::clone(service)).or_default().has_repeat(bound, now_ms)
+        budgets.entry(Arc::clone(service)).or_default().allows_repeat(bound, now_ms)
     }
 
     /// Requests to a service that other instances place before the news of them arrive here, as far as
@@ -39,7 +39,8 @@
     pub(super) fn unseen(&self, view: &View, service: &str, need: Need) -> f64 {
         let sent = view.sent.get(service).filter(|_| need.prompt_tokens > 0);
         let window_ms = self.settings.repeat_window_ms.max(1);
-        sent.map_or(0.0, |sent| sent.requests as f64) * loads::DIGEST_MS as f64 / window_ms as f64
+        sent.map_or(0.0, |sent| sent.requests as f64) * loads::DIGEST_INTERVAL_MS as f64
+            / window_ms as f64
     }
 
     fn bound(&self, service: &str) -> Bound {
--- a/tests/gateway/leaving.rs
+++ b/tests/gateway/leaving.rs
@@ -9,7 +9,7 @@
 use siskinrock_fakes::{caller, process, store};
 use yare::parameterized;
 
-use crate::load::{self, AT_ONCE, CALL_EVERY, STREAM_EVERY, booking_or_look_up};
+use crate::load::{self, CALL_INTERVAL, MAX_REFUSAL_DURATION, STREAM_INTERVAL, booking_or_look_up};
 use crate::support::{self, call, plan};
 
 /// The time after the announcement from which on the upstream must receive no new requests.
@@ -33,7 +33,8 @@
     let leaving = &running.site.services[0];
     leaving.signal(LEAVING);
     let results =
-        load::play(&running, CALL_EVERY, booking_or_look_up, announced_at + LOAD_DURATION).await;
+        load::run_load(&running, CALL_INTERVAL, booking_or_look_up, announced_at + LOAD_DURATION)
+            .await;
     assert_eq!(count_after_bound(&leaving.seen(), announced_at), 0, "requests after the bound");
     assert_eq!(
         results.iter().filter(|result| result.status != 200).count(),
@@ -59,7 +60,7 @@
     leaving.signal(LEAVING);
     running.site.services[1].fail(fault);
     let look_up = |_| call("GET", "/look/seat");
-    load::play(&running, CALL_EVERY, look_up, announced_at + LOAD_DURATION).await;
+    load::run_load(&running, CALL_INTERVAL, look_up, announced_at + LOAD_DURATION).await;
     assert_eq!(count_after_bound(&leaving.seen(), announced_at), 0, "requests after the bound");
 }
 
@@ -93,13 +94,14 @@
     running.site.services.iter().for_each(|service| service.signal(LEAVING));
     let announced_at = Instant::now();
     let results =
-        load::play(&running, CALL_EVERY, booking_or_look_up, announced_at + LOAD_DURATION).await;
+        load::run_load(&running, CALL_INTERVAL, booking_or_look_up, announced_at + LOAD_DURATION)
+            .await;
     for service in &running.site.services {
         assert_eq!(count_after_bound(&service.seen(), announced_at), 0, "requests after the bound");
     }
     for result in results.iter().filter(|result| result.status != 200) {
         assert_eq!((result.status, running.runs_of(&result.id)), (503, 0));
-        assert!(result.took <= AT_ONCE && result.retry_after_s.is_some());
+        assert!(result.took <= MAX_REFUSAL_DURATION && result.retry_after_s.is_some());
     }
 }
 
@@ -120,7 +122,8 @@
             torn.fail(engine::Fault::None);
         }
     };
-    let streams = load::play(&running, STREAM_EVERY, |_| plan(), announced_at + LOAD_DURATION);
+    let streams =
+        load::run_load(&running, STREAM_INTERVAL, |_| plan(), announced_at + LOAD_DURATION);
     let (results, ()) = tokio::join!(streams, tear);
     assert_eq!(count_after_bound(&leaving.seen(), announced_at), 0, "streams after the bound");
     let addr = leaving.addr.to_string();
