--- a/src/gateway/answer.rs
+++ b/src/gateway/answer.rs
@@ -1,4 +1,4 @@
-//! Answers to callers: a whole body, or a body that grows.
+//! Answers to callers, with a whole or a streamed body.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -11,20 +11,21 @@
 
 use super::failure::Failure;
 
-/// The answer ends here without being complete; the connection is cut so that callers notice.
+/// The answer ends without being complete. The connection is closed without a regular end of the
+/// body, so that the caller notices.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, derive_more::Display, derive_more::Error)]
-#[display("the answer could not be completed; the connection is cut")]
+#[display("the answer could not be completed; the connection is closed")]
 pub struct Cut;
 
-/// A part of a growing body, or its end without being complete.
+/// A chunk of a streamed body, or the error that truncates it.
 pub type Part = Result<Bytes, Cut>;
 
 /// The body of an answer.
 #[derive(Debug)]
 pub enum AnswerBody {
-    /// All of it at once.
+    /// The whole body; `None` if it is empty or was passed on.
     Whole(Option<Bytes>),
-    /// Parts as they come; complete once the sender is dropped.
+    /// Chunks as they arrive; the body is complete once the sender is dropped.
     Growing(mpsc::Receiver<Part>),
 }
 
@@ -61,17 +62,17 @@
 /// An answer to a caller.
 pub type Answer = Response<AnswerBody>;
 
-/// An answer with a whole body.
+/// Builds an answer with a whole body.
 pub fn whole(status: u16, headers: HeaderMap, body: Bytes) -> Answer {
     build(status, headers, AnswerBody::Whole((!body.is_empty()).then_some(body)))
 }
 
-/// An answer whose body grows.
+/// Builds an answer with a streamed body.
 pub fn growing(status: u16, headers: HeaderMap, parts: mpsc::Receiver<Part>) -> Answer {
     build(status, headers, AnswerBody::Growing(parts))
 }
 
-/// An answer of this system's own that tells why there is none from an upstream.
+/// Builds the answer that tells a caller why its request has no answer from an upstream.
 pub fn failed(failure: &Failure, retry_after_ms: Option<u64>) -> Answer {
     let mut headers = HeaderMap::new();
     headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -1,4 +1,5 @@
-//! A call whose answer comes whole: one attempt after the other, within its bounds.
+//! Serves calls, whose answers are buffered whole and not streamed: attempts at one upstream after
+//! another, with hedging, until the deadline and the limits on attempts.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -21,10 +22,10 @@
 use super::traffic::Traffic;
 use super::worker::{Lease, What, Worker};
 
-/// The longest answer that is held in memory until it is whole.
+/// The maximum size of an answer, which is held in memory until it is whole.
 const LONGEST_ANSWER_BYTES: usize = 8 << 20;
-/// How often a call looks for another upstream when no byte could be sent: a whole failure domain
-/// of a service may refuse.
+/// How many attempts may fail before a byte was sent: all upstreams of a service in one failure
+/// domain may refuse connections.
 const UNSENT_TRIES: u32 = 6;
 
 /// How one attempt ended.
@@ -32,28 +33,30 @@
 enum Outcome {
     /// The upstream's whole answer.
     Answered(Whole),
-    /// It certainly did not run.
+    /// The request has not run.
     NotRun { answered: Option<Whole>, was_sent: bool },
-    /// It was not sent, since the upstream limits what it gets.
+    /// The request was not sent, because the upstream is throttled.
     Throttled,
-    /// Another upstream has the address, so it did not run; that says nothing of its service.
+    /// Another upstream answered at the address, so the request has not run. Unlike `NotRun`, this
+    /// doesn't mean that the service is full.
     Replaced,
-    /// It may have run.
+    /// The request may have run.
     Unknown { detail: String },
-    /// The time was over.
+    /// The deadline passed.
     TimeOver,
-    /// The budget of repeats of all instances is used up.
+    /// The retry budget of all instances together is used up.
     OverBudget,
 }
 
 impl Outcome {
-    /// Whether it is an answer that a caller can use.
+    /// Whether it is an answer other than a server error.
     fn is_good(&self) -> bool {
         matches!(self, Outcome::Answered(whole) if whole.status < 500)
     }
 
-    /// Which of two attempts speaks for their request: a good answer, then any, then one that may
-    /// have run, since "not run" must hold for both.
+    /// Ranks the outcomes of two attempts at one request; the higher one is its outcome. A good answer
+    /// comes first, then any other answer, then an attempt that may have run, since a request has "not
+    /// run" only if neither attempt ran.
     fn weight(&self) -> u8 {
         match self {
             Outcome::Answered(_) if self.is_good() => 3,
@@ -75,11 +78,12 @@
     body: Bytes,
 }
 
-/// Serves a call that isn't a stream.
+/// Serves a request whose answer isn't a stream.
 pub async fn serve(traffic: &Rc<Traffic>, job: &Job) -> Answer {
     let mut constraints =
         Constraints { near: Some(Arc::clone(&traffic.settings.domain)), ..Constraints::default() };
-    // Attempts that count against the route's bound, and all that reached an upstream.
+    // `sent` counts the attempts against the route's limit, `arrived` all that reached an upstream,
+    // and `unsent` those of which no byte was sent.
     let mut sent = 0;
     let mut arrived = 0;
     let mut unsent = 0;
@@ -118,7 +122,12 @@
                     && Mechanism::SecondOpinion.is_on()
                     && job.route.repeat == Repeat::Idempotent;
                 if may_repeat && sent < job.route.max_attempts {
-                    log_attempt(traffic, job, &worker, "answered with an error; tried elsewhere");
+                    log_attempt(
+                        traffic,
+                        job,
+                        &worker,
+                        "answered with an error; trying another upstream",
+                    );
                     if let Some((better, by)) = second_opinion(traffic, job, &mut constraints).await
                     {
                         return deliver(traffic, job, &by, better);
@@ -135,7 +144,7 @@
                     unsent += 1;
                 }
                 log_attempt(traffic, job, &worker, "did not run");
-                // What was refused for good isn't worth another try.
+                // With status 400 every other upstream would refuse it too.
                 if let Some(whole) = answered.filter(|whole| whole.status == 400) {
                     return deliver(traffic, job, &worker, whole);
                 }
@@ -146,7 +155,7 @@
             Outcome::Throttled => log_attempt(traffic, job, &worker, "throttled"),
             Outcome::Replaced => {
                 arrived += 1;
-                log_attempt(traffic, job, &worker, "another upstream has its address");
+                log_attempt(traffic, job, &worker, "another upstream answered at its address");
             }
             Outcome::Unknown { detail } => {
                 arrived += 1;
@@ -165,11 +174,11 @@
     }
 }
 
-/// An attempt that gets a second one beside it, at another upstream and failure domain, if it is
-/// silent for longer than nearly all are. The first good answer counts; the other attempt is
-/// dropped, which ends its upstream's work.
+/// Makes an attempt, and hedges it with a second one, if possible in another failure domain, if it
+/// takes longer than nearly all attempts at its route. The first good answer is used; the other
+/// attempt is dropped, which closes its connection and so ends the upstream's work.
 ///
-/// Returns whose outcome it is, and how many attempts were made besides.
+/// Returns the upstream and the outcome of the attempt that counts, and the number of further attempts.
 async fn hedged(
     traffic: &Rc<Traffic>,
     job: &Job,
@@ -194,7 +203,7 @@
         let outcome = first.await;
         return (Rc::clone(worker), outcome, 0);
     };
-    slog::info!(traffic.log, "silent; sent to a second upstream"; "request" => job.id(),
+    slog::info!(traffic.log, "no answer yet; sent to a second upstream"; "request" => job.id(),
         "upstream" => &*worker.upstream.id, "second" => &*other.upstream.id,
         "after_ms" => after_ms, "objective_ms" => job.route.target_latency_ms);
     traffic.metrics.count("calls_hedged");
@@ -220,8 +229,8 @@
     }
 }
 
-/// Another upstream for a second attempt, rather in another failure domain; none if the budget of
-/// repeats allows none, or only upstreams in doubt are left.
+/// Chooses an upstream for a hedge, in another failure domain if possible. Returns none if the retry
+/// budget is used up, no other upstream is left, or the best one is suspected to be down.
 fn second_upstream(
     traffic: &Rc<Traffic>,
     job: &Job,
@@ -243,7 +252,8 @@
     Some(other)
 }
 
-/// One more attempt after an upstream's own error, whose answer counts only if it is better.
+/// Makes one more attempt after an upstream answered with a server error. Its answer is used only if
+/// it isn't a server error too.
 async fn second_opinion(
     traffic: &Rc<Traffic>,
     job: &Job,
@@ -283,7 +293,7 @@
     if left_ms == 0 || !traffic.takes_work(&worker.upstream.id) {
         return unsent();
     }
-    // Only what is really sent again draws on the budget.
+    // The retry budget is charged only for requests that are really sent again.
     if !is_first && !traffic.may_repeat(&job.service) {
         worker.give_back(lease, None, now_ms);
         return Outcome::OverBudget;
@@ -318,8 +328,8 @@
     judge(traffic, job, worker, lease, result)
 }
 
-/// Notes how long an attempt took when it ends, also when it is dropped: what never answers must
-/// not make its route look quick.
+/// Records the duration of an attempt when it ends, also if it is dropped: otherwise attempts that
+/// never get an answer would be missing, and the route's latency would be underestimated.
 struct Timing<'a> {
     traffic: &'a Traffic,
     job: &'a Job,
@@ -353,7 +363,7 @@
     Ok((Whole { status: head.status.as_u16(), headers: head.headers, body }, marks))
 }
 
-/// Says what an exchange means, and keeps the channel if it is clean.
+/// Derives the outcome of an attempt, and gives its channel back if the channel can be reused.
 fn judge(
     traffic: &Rc<Traffic>,
     job: &Job,
@@ -384,7 +394,7 @@
     }
     traffic.note_signals(worker, whole.status, &marks);
     let is_success = (200..300).contains(&whole.status);
-    // After an early refusal the upstream may still expect the rest of the body.
+    // After a refusal that came early, the upstream may still expect the rest of the body.
     if is_success || job.body.is_empty() {
         worker.give_back(lease, marks.keep_ms, now_ms);
     }
@@ -401,9 +411,12 @@
         return Outcome::Unknown { detail: "the answer is not signed".to_owned() };
     }
     worker.ended(whole.status >= 500, now_ms);
-    // These statuses promise that nothing ran, which only the upstream's own mark can tell.
+    // These statuses promise a caller that nothing ran, so they are passed on only if the upstream's
+    // answer has the header that says so.
     if matches!(whole.status, 408 | 429 | 503) {
-        return Outcome::Unknown { detail: format!("status {} without a mark", whole.status) };
+        return Outcome::Unknown {
+            detail: format!("status {} without the not-run header", whole.status),
+        };
     }
     Outcome::Answered(whole)
 }
@@ -421,7 +434,8 @@
     answer::whole(whole.status, headers, whole.body)
 }
 
-/// A refusal that promises 'not run' is kept from a request that may have run earlier.
+/// Refuses a request for the last failure, or with `Failure::Unknown` if an earlier attempt may have
+/// run, since most failures promise that it has not.
 fn finish(job: &Job, traffic: &Traffic, failure: Failure, may_have_run: bool) -> Answer {
     let failure = match failure {
         _ if may_have_run => Failure::Unknown,
--- a/src/gateway/caller.rs
+++ b/src/gateway/caller.rs
@@ -1,4 +1,5 @@
-//! A caller's socket, watched for when its next request begins and when an answer is written.
+//! A caller's socket that records when the next request starts to arrive and when an answer has
+//! been written.
 
 use std::cell::Cell;
 use std::io;
@@ -13,61 +14,60 @@
 use super::failure::Failure;
 use crate::clock::Clock;
 
-/// Where a connection stands.
+/// The stage of a caller's connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Stage {
-    /// It waits for a request, since then.
+    /// Waiting for a request, since the given time in milliseconds.
     Idle(u64),
-    /// A request began to arrive at that time, and its head isn't whole.
+    /// The head of a request is incomplete; its first bytes arrived at the given time.
     Head(u64),
-    /// A request is served.
+    /// The head of a request is complete, and the head of its answer isn't there yet.
     Serving,
-    /// Its answer is being made.
+    /// The body of the answer is being produced.
     Answering,
-    /// The answer was made, and a part of it isn't written.
+    /// The body of the answer has ended, but isn't fully written to the socket.
     Flushing,
 }
 
-/// Follows a connection from stage to stage.
+/// Tracks the stage of a connection.
 pub struct Progress {
     clock: Clock,
     stage: Cell<Stage>,
-    /// Bytes of the next request came before the answer was written.
+    /// Whether bytes of the next request arrived before the answer was written.
     has_next: Cell<bool>,
 }
 
 impl Progress {
-    /// Of a connection that was just accepted.
+    /// Starts to track a connection that was just accepted.
     pub fn new(clock: Clock) -> Progress {
         let stage = Cell::new(Stage::Idle(clock.now_ms()));
         Progress { clock, stage, has_next: Cell::new(false) }
     }
 
-    /// Where it stands.
     pub fn stage(&self) -> Stage {
         self.stage.get()
     }
 
-    /// Notes that the head of a request is whole.
+    /// Records that the head of a request is complete.
     pub fn begin(&self) {
         self.has_next.set(false);
         self.stage.set(Stage::Serving);
     }
 
-    /// Notes that the head of the answer is there.
+    /// Records that the head of the answer is there.
     pub fn answer(&self) {
         self.stage.set(Stage::Answering);
     }
 
-    /// Notes that the body of the answer has ended.
+    /// Records that the body of the answer has ended.
     pub fn body_ended(&self) {
         if self.stage.get() == Stage::Answering {
             self.stage.set(Stage::Flushing);
         }
     }
 
-    /// Notes that all bytes of answers are written. The times of the next request begin here, not
-    /// with the head of an answer that may take many times as long.
+    /// Records that the answer is fully written. The idle and head timeouts of the next request start
+    /// here and not at the head of the answer, whose body may take far longer than these timeouts.
     fn flushed(&self) {
         if self.stage.get() != Stage::Flushing {
             return;
@@ -77,38 +77,38 @@
         self.stage.set(if has_next { Stage::Head(now_ms) } else { Stage::Idle(now_ms) });
     }
 
-    /// Notes that bytes were read.
+    /// Records that bytes were read.
     fn read(&self) {
         match self.stage.get() {
             Stage::Idle(_) => self.stage.set(Stage::Head(self.clock.now_ms())),
             Stage::Answering | Stage::Flushing => self.has_next.set(true),
-            // Of the head, or of the body of the request that is served.
+            // The bytes belong to the head, or to the body of the request being served.
             Stage::Head(_) | Stage::Serving => {}
         }
     }
 }
 
-/// A socket that notes when a request begins to arrive and when an answer is written.
+/// A socket that records when a request starts to arrive and when an answer has been written.
 pub struct Watched {
     stream: Rc<TcpStream>,
     progress: Rc<Progress>,
-    /// Bytes that were read from the socket already, and come before what it still holds.
+    /// Bytes that were taken from the socket but not used; reads return them first.
     ahead: Bytes,
 }
 
 impl Watched {
-    /// Watches a socket.
     pub fn new(stream: Rc<TcpStream>, progress: Rc<Progress>) -> Watched {
         Watched { stream, progress, ahead: Bytes::new() }
     }
 
-    /// Puts back what was read from the socket and not used; it is read again first.
+    /// Puts back bytes that were read but not used; the next reads return them first.
     pub fn put_back(&mut self, unused: Bytes) {
         self.ahead = unused;
     }
 }
 
-/// Tells a caller on its bare socket why its connection ends, before any request was read.
+/// Writes an answer straight to the socket of a caller whose connection closes before hyper has read
+/// a request to answer.
 pub fn tell(stream: &TcpStream, failure: &Failure) {
     let status = failure.status();
     let body = failure.body();
@@ -117,7 +117,7 @@
          Content-Type: application/json\r\nContent-Length: {}\r\n\r\n",
         body.len()
     );
-    // A caller whose socket takes nothing more is told by the end of the connection.
+    // If the socket's send buffer is full, the caller sees only that the connection closes.
     let _ = stream.try_write(&[head.as_bytes(), &body].concat());
 }
 
@@ -179,7 +179,7 @@
     }
 
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        // hyper flushes the socket once its own buffer is empty.
+        // hyper flushes the socket once its own write buffer is empty.
         self.progress.flushed();
         Poll::Ready(Ok(()))
     }
--- a/src/gateway/channel.rs
+++ b/src/gateway/channel.rs
@@ -1,7 +1,7 @@
 //! One HTTP connection to an upstream, the directory or a peer, over hyper's connection interface.
 //!
-//! The usual pooled clients hide what has to be known here: whether a single byte of a request
-//! was written, and that a connection with stray bytes must not be used again.
+//! Pooled HTTP clients hide two things that are needed here: whether any byte of a request was
+//! written, and whether unexpected bytes arrived, after which a connection must not be reused.
 
 use std::cell::Cell;
 use std::io;
@@ -22,38 +22,39 @@
 use tokio::net::TcpStream;
 use tokio::task::JoinHandle;
 
-/// How long bytes may stay unacknowledged: four retransmissions on a link that loses packets, and
-/// well under the shortest deadline of a call.
+/// How long sent bytes may stay unacknowledged: enough for four retransmissions on a link that loses
+/// packets, and well under the shortest deadline of a call.
 const UNACKNOWLEDGED_MS: u64 = 800;
-/// The pause of probes on a silent connection, the shortest that the kernel takes.
+/// The interval of keepalive probes on an idle connection, the shortest that the kernel accepts.
 const KEEPALIVE_S: u64 = 1;
-/// Answers to a head are short; the default of hyper is over 400 KB a connection.
+/// The read buffer of a connection. Response heads are short, and hyper's default limit is over
+/// 400 KB per connection.
 const READ_BUFFER_BYTES: usize = 32 << 10;
 
-/// Why a request on a channel brought no answer.
+/// Why a channel could not be opened, or a request on it got no answer.
 #[derive(Debug, Clone, PartialEq, Eq, derive_more::Display, derive_more::Error)]
 pub enum Fault {
     /// No byte of the request was written.
-    #[display("no byte was sent ({detail}); the request may go elsewhere")]
+    #[display("no byte of the request was sent ({detail}); it may be sent to another upstream")]
     NotSent {
-        /// What was seen.
+        /// The underlying error.
         detail: String,
     },
-    /// Nothing listens at the address any more.
-    #[display("nothing listens there; the request may go elsewhere")]
+    /// The connection was refused: nothing listens at the address any more.
+    #[display("connection refused; the request may be sent to another upstream")]
     Refused,
-    /// No connection came about in time.
-    #[display("no connection within {timeout_ms} ms; the request may go elsewhere")]
+    /// No connection was established within the timeout.
+    #[display("no connection within {timeout_ms} ms; the request may be sent to another upstream")]
     Unreachable {
-        /// How long it was tried.
+        /// The timeout.
         timeout_ms: u64,
     },
-    /// Some of it was written, so it may run.
+    /// The connection failed after part of the request was written, so the request may run.
     #[display(
         "the connection broke after the request was sent ({detail}); whether it ran is unknown"
     )]
     Broken {
-        /// What was seen.
+        /// The underlying error.
         detail: String,
     },
 }
@@ -77,7 +78,7 @@
     ///
     /// # Errors
     ///
-    /// Any but [`Fault::Broken`], if it can't be had.
+    /// Any fault but [`Fault::Broken`].
     pub async fn open(addr: SocketAddr, timeout_ms: u64) -> Result<Channel, Fault> {
         let not_sent = |detail: String| Fault::NotSent { detail };
         let limit = Duration::from_millis(timeout_ms);
@@ -98,7 +99,7 @@
             .await
             .map_err(|error| not_sent(error.to_string()))?;
         let task = tokio::task::spawn_local(async move {
-            // How a connection ended is seen by the request on it; an idle one is just dropped.
+            // The request on the connection gets its error; that of an idle connection is ignored.
             let _ = connection.await;
         });
         Ok(Channel { sender, task, written })
@@ -108,7 +109,7 @@
     ///
     /// # Errors
     ///
-    /// [`Fault::NotSent`] only if no byte was written.
+    /// [`Fault::NotSent`] if no byte was written, else [`Fault::Broken`].
     pub async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -129,18 +130,18 @@
         }
     }
 
-    /// Whether any byte was ever written.
+    /// The number of bytes written since the connection was opened.
     pub fn written(&self) -> u64 {
         self.written.get()
     }
 
-    /// Whether it can carry another request.
+    /// Whether the channel can carry another request.
     pub fn is_usable(&self) -> bool {
         !self.sender.is_closed() && !self.task.is_finished() && self.sender.is_ready()
     }
 }
 
-/// An error of hyper with its cause, which names the socket's own error.
+/// The text of a hyper error and its cause, which names the error of the socket.
 pub fn describe(error: &hyper::Error) -> String {
     match std::error::Error::source(error) {
         Some(cause) => format!("{error}: {cause}"),
@@ -148,7 +149,8 @@
     }
 }
 
-/// Has the kernel notice a peer that fell silent, and send small writes at once.
+/// Disables Nagle's algorithm, and sets TCP timeouts so that the kernel closes the connection to a
+/// peer that stops responding.
 fn tune(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
@@ -157,7 +159,7 @@
     socket.set_tcp_user_timeout(Some(Duration::from_millis(UNACKNOWLEDGED_MS)))
 }
 
-/// A socket that counts what was written to it.
+/// A socket that counts the bytes written to it.
 struct Counted {
     stream: TcpStream,
     written: Rc<Cell<u64>>,
--- a/src/gateway/connection.rs
+++ b/src/gateway/connection.rs
@@ -1,4 +1,4 @@
-//! A caller's connection: its requests one after the other, and when it closes.
+//! Accepts callers' connections, serves the requests on each in turn, and closes them.
 
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -21,18 +21,18 @@
 use super::route::Limits;
 use super::traffic::Traffic;
 
-/// The least buffer that hyper accepts for a head.
+/// The smallest buffer for a head that hyper accepts.
 pub(super) const LEAST_BUFFER_BYTES: usize = 8 << 10;
-/// The pause after a failed accept: connections that end meanwhile free descriptors.
+/// The delay after a failed accept; connections that end meanwhile free file descriptors.
 const ACCEPT_AGAIN_MS: u64 = 20;
-/// How often a connection that has to close looks whether its request has come or ended; 300
-/// connections that looked cost 8 % of a core.
+/// How often a connection that is to close checks whether its request has arrived or ended. With 300
+/// connections the checks take 8 % of a core.
 const CLOSE_LOOK_MS: u64 = 10;
-/// How long a new connection may be without a request before a planned stop closes it: its caller
-/// opened it to send one, which is a round trip away.
+/// How long a planned stop waits for the first request on a new connection. Its caller opened it to
+/// send one, which arrives a round trip later.
 const NEW_CONNECTION_MS: u64 = 100;
 
-/// Accepts callers until `close` is set, those that came before it as well.
+/// Accepts connections until `close` is set, and then those that are still in the listener's queue.
 pub async fn accept(traffic: Rc<Traffic>, listener: TcpListener, mut close: watch::Receiver<bool>) {
     loop {
         let accepted = tokio::select! {
@@ -42,7 +42,7 @@
         };
         match accepted {
             Ok((stream, _)) => {
-                // Counted before its task first runs, so that no look misses it.
+                // Counted before its task first runs, so that the count never misses it.
                 let guard = ConnectionGuard::new(&traffic);
                 let serving = serve(Rc::clone(&traffic), stream, close.clone());
                 tokio::task::spawn_local(async move {
@@ -61,25 +61,26 @@
     }
 }
 
-/// What a connection does next.
+/// What is to be done with a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Next {
-    /// It goes on.
+    /// Keep serving it.
     GoOn,
-    /// It closes after what it is doing; at once if that is nothing.
+    /// Close it after the request in progress, or at once if there is none.
     Close,
-    /// Its head did not come in time.
+    /// Reject it: the head of a request did not arrive within its timeout.
     TooSlow,
 }
 
-/// What a connection does next, from where it stands.
+/// Decides what is to be done with a connection at this stage.
 ///
-/// `is_closing` says that a planned stop closes all connections, `is_new` that this one has not
-/// brought a request yet.
+/// `is_closing`: a planned stop is closing all connections. `is_new`: no request has arrived on this
+/// one yet.
 pub fn next(stage: Stage, is_closing: bool, is_new: bool, limits: &Limits, now_ms: u64) -> Next {
     match stage {
         Stage::Head(since_ms) if now_ms >= since_ms + limits.head_timeout_ms => Next::TooSlow,
-        // hyper would close with the bytes of a head that has begun; it closes with its answer.
+        // hyper would drop the bytes of the incomplete head. The connection closes after the answer
+        // to this request instead.
         Stage::Head(_) => Next::GoOn,
         Stage::Idle(since_ms) => {
             let is_over = now_ms >= since_ms + limits.idle_timeout_ms;
@@ -127,7 +128,7 @@
         let is_looking = is_closing && !has_closed;
         let patience_ms = if is_looking { CLOSE_LOOK_MS } else { limits.head_timeout_ms.max(1) };
         tokio::select! {
-            // What has arrived is read before the connection is told to close.
+            // Bytes that have arrived are read before the connection is closed.
             biased;
             ended = &mut connection => {
                 if let Err(error) = ended {
@@ -146,7 +147,7 @@
                 if idle.read_buf.is_empty() {
                     return;
                 }
-                // A head that came in the same bytes as the request before it has begun.
+                // The start of the next head was read together with the request before it.
                 let mut watched = idle.io.into_inner();
                 watched.put_back(idle.read_buf);
                 connection = builder.serve_connection(TokioIo::new(watched), idle.service);
--- a/src/gateway/events.rs
+++ b/src/gateway/events.rs
@@ -1,31 +1,31 @@
-//! Cuts a byte stream of server-sent events into whole events.
+//! Splits a byte stream of server-sent events into events.
 //!
-//! An engine may stop in the middle of an event. Only whole events are passed on, so that the
-//! answer can go on elsewhere after the last one.
+//! An engine may stop in the middle of an event. Only complete events are passed on, so that another
+//! engine can continue the answer after the last one.
 
 use bytes::{Bytes, BytesMut};
 
-/// The longest event that is waited for; a longer one counts as broken.
+/// The maximum length of an event; a stream with a longer one counts as broken.
 const LONGEST_BYTES: usize = 1 << 20;
 
-/// A whole event as it came, with its blank line.
+/// A complete event as received, including its blank line.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Event {
-    /// Its id, if it has one.
+    /// Its id, if it has one that is a number.
     pub id: Option<u64>,
     /// Its bytes, unchanged.
     pub bytes: Bytes,
 }
 
-/// What is left of events that are not whole yet.
+/// Splits received bytes into events, and buffers the incomplete event at their end.
 #[derive(Debug, Default)]
 pub struct Splitter {
     left: BytesMut,
 }
 
 impl Splitter {
-    /// Takes in bytes and appends the events that are whole now. Returns whether what is left can
-    /// still become an event.
+    /// Adds received bytes, and appends each event that is complete now to `out`. Returns false if
+    /// the incomplete event exceeds the maximum length.
     pub fn push(&mut self, bytes: &[u8], out: &mut Vec<Event>) -> bool {
         self.left.extend_from_slice(bytes);
         while let Some(end) = event_end(&self.left) {
@@ -35,13 +35,13 @@
         self.left.len() <= LONGEST_BYTES
     }
 
-    /// Whether nothing is left over.
+    /// Whether no incomplete event is buffered.
     pub fn is_empty(&self) -> bool {
         self.left.is_empty()
     }
 }
 
-/// Where the first event ends: after an empty line.
+/// The end of the first event, just after the blank line that ends it.
 fn event_end(bytes: &[u8]) -> Option<usize> {
     let mut line_start = 0;
     for (index, byte) in bytes.iter().enumerate() {
--- a/src/gateway/failure.rs
+++ b/src/gateway/failure.rs
@@ -1,31 +1,33 @@
-//! What a caller is told when its request can't be served, and whether it ran.
+//! The reasons for refusing a request, the answers that callers get for them, and whether the request
+//! may have run.
 
 use bytes::Bytes;
 use serde::Serialize;
 
 use super::fingerprint::Fingerprint;
 
-/// When to come back after a refusal that passes by itself while the service has upstreams; how
-/// long one without any is away is the business of [`super::outages`].
+/// When to retry after a refusal for a temporary reason while the service has upstreams. If it has
+/// none, [`super::policy::outages`] sets the delay.
 const SOON_MS: u64 = 300;
-/// When to go to another address: at once, but for a caller that has none yet.
+/// When to retry at another address: almost at once. The delay is for a caller that has no other
+/// address yet.
 const ELSEWHERE_MS: u64 = 20;
-/// When to come back to an instance that has no configuration yet: reading one takes a few calls.
+/// When to retry at an instance that has no configuration yet; reading one takes a few calls.
 const STARTING_MS: u64 = 500;
 
-/// Why a request wasn't served; the status tells whether it may have run.
+/// Why a request wasn't served; the HTTP status says whether it may have run.
 #[derive(Debug, Clone, PartialEq, Eq, derive_more::Display, derive_more::Error)]
 pub enum Failure {
-    /// This instance knows no configuration yet.
+    /// This instance has no configuration yet.
     #[display("this instance has no configuration yet; send the request again after Retry-After")]
     Starting,
-    /// A planned stop is under way and the request would not end before it.
+    /// A planned stop is under way, and the request would not end before it does.
     #[display("this instance is stopping; send the request to another address")]
     Stopping,
     /// A planned stop ended before the answer came, and the request may have run.
     #[display("this instance stopped before the answer came; check the request's effect first")]
     Stopped,
-    /// No route fits.
+    /// No route matches.
     #[display("no route takes this host and path; check both, or add a route")]
     NoRoute,
     /// No organisation has the key.
@@ -37,16 +39,16 @@
         /// What is wrong with it.
         detail: String,
     },
-    /// The body is too long.
+    /// The body is too large.
     #[display("the body is over {limit_bytes} bytes; send a shorter one")]
     TooLarge {
-        /// The bound.
+        /// The limit.
         limit_bytes: usize,
     },
     /// The request arrived too slowly.
     #[display("the request did not arrive within {timeout_ms} ms; send it faster")]
     TooSlow {
-        /// The bound.
+        /// The timeout.
         timeout_ms: u64,
     },
     /// No upstream takes work; the request has not run.
@@ -54,29 +56,30 @@
         "no upstream of the service takes work now; send the request again after Retry-After"
     )]
     NoUpstream,
-    /// All upstreams that could take it limit what they get.
+    /// All upstreams that could take it are throttled.
     #[display(
         "the upstreams of the service limit what they get; the request has not run, send it again after \
          Retry-After"
     )]
     Throttled,
-    /// All upstreams that were asked said that they did not run it.
+    /// All upstreams to which it was sent answered that they did not run it.
     #[display("the upstreams are full; the request has not run, send it again after Retry-After")]
     Full,
-    /// Upstreams refused it, and the bound on repeats over all instances allows no other attempt.
+    /// Upstreams refused it, and the retry budget of all instances together allows no further attempt.
     #[display(
         "too many repeats to the service are under way; the request has not run, send it again \
          after Retry-After"
     )]
     TooManyRepeats,
-    /// Upstreams crashed under earlier requests that were the same; this one was sent to none.
+    /// Upstreams crashed while they ran earlier requests with the same fingerprint; this one was not
+    /// sent to any.
     #[display(
         "the request is in quarantine: upstreams crashed while they ran the same one ({fingerprint}); it \
          has not run this time, change it, or send it again after Retry-After, or have the operators lift \
          the quarantine"
     )]
     Quarantined {
-        /// What the request is.
+        /// The fingerprint of the request.
         fingerprint: Fingerprint,
     },
     /// Upstreams crashed while they ran it.
@@ -86,16 +89,16 @@
          quarantine"
     )]
     Poison {
-        /// What the request is.
+        /// The fingerprint of the request.
         fingerprint: Fingerprint,
     },
     /// The request was sent and its outcome is unknown.
     #[display("the upstream did not answer after the request was sent; check its effect first")]
     Unknown,
-    /// The time was over and the request may have run.
+    /// The deadline passed, and the request may have run.
     #[display("no answer came within the time; check the request's effect before a new one")]
     TimeOver,
-    /// The time was over before the request was sent anywhere.
+    /// The deadline passed before the request was sent to an upstream.
     #[display("the time was over before an upstream was free; the request has not run")]
     TimeOverUnsent,
 }
@@ -128,7 +131,7 @@
         }
     }
 
-    /// When to come back, where that helps.
+    /// When the caller should retry, if a retry may help.
     pub fn retry_after_ms(&self) -> Option<u64> {
         match self {
             Failure::Starting => Some(STARTING_MS),
@@ -142,7 +145,7 @@
         }
     }
 
-    /// What the caller reads.
+    /// The body of the answer: the error, and whether the request ran.
     pub fn body(&self) -> Bytes {
         let ran = match self {
             Failure::Unknown | Failure::Stopped | Failure::Poison { .. } | Failure::TimeOver => {
--- a/src/gateway/front.rs
+++ b/src/gateway/front.rs
@@ -1,4 +1,4 @@
-//! Callers' connections: reading requests within the limits, and passing each to its service.
+//! Reads callers' requests within the limits, finds their routes, and passes them to their services.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -22,21 +22,22 @@
 use super::traffic::Traffic;
 use super::{call, stream};
 
-/// The time that a caller has if it names none and the route has no bound either.
+/// The deadline of a request if the caller sets none, and the timeout of a route that sets none.
 const DEFAULT_DEADLINE_MS: u64 = 30_000;
-/// The most of a refused body that is read, so that the caller sees the answer and not a reset.
+/// How much of a refused body is read, so that the caller gets the answer instead of a reset.
 const DISCARD_BYTES: usize = 8 << 20;
-/// Serves a request; it has its answer before a planned stop ends, whichever it is.
+
+/// Serves a request. If a planned stop is under way, it is answered or refused before the stop ends.
 pub async fn serve(traffic: &Rc<Traffic>, demand: Demand, request: Request<Incoming>) -> Answer {
     let mut answer = dispatch(traffic, demand, request).await;
     if traffic.stop.get().is_some() {
-        // Callers open their next connection elsewhere.
+        // The caller's next connection then goes to another instance.
         answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
     answer
 }
 
-/// Reads a request and passes it to its service.
+/// Reads a request, and refuses it or passes it to its service.
 async fn dispatch(traffic: &Rc<Traffic>, demand: Demand, request: Request<Incoming>) -> Answer {
     let id = demand.id.clone();
     let (host, path) =
@@ -44,7 +45,7 @@
     let read = tokio::select! {
         biased;
         read = read(traffic, demand, request) => read,
-        // Nothing of it was sent anywhere, nor will be.
+        // No part of it was sent to an upstream or will be.
         () = traffic.gives_last_answers() => {
             let failure = Failure::Stopping;
             Err(Rejected { failure, id, host, path, config_version: 0, after_ms: None })
@@ -58,7 +59,7 @@
             biased;
             answer = call::serve(traffic, &job) => answer,
             () = traffic.gives_last_answers() => traffic.refuse(&job, &Failure::Stopped, None),
-            // It may run at an upstream, which crashes if it begins to.
+            // An upstream may be running it, and may crash from it.
             () = traffic.is_quarantined(&job) => {
                 let failure = Failure::Poison { fingerprint: job.fingerprint() };
                 let after_ms = traffic.comes_back_ms(&job, &failure);
@@ -73,14 +74,14 @@
     }
 }
 
-/// A request that never reached a service, with what decided that.
+/// A request that was refused before it reached a service, with the reason and details for the log.
 struct Rejected {
     failure: Failure,
     id: Option<Arc<str>>,
     host: String,
     path: String,
     config_version: u64,
-    /// When to come back, where that follows from how this instance stands.
+    /// When the caller should retry, if the state of this instance determines it.
     after_ms: Option<u64>,
 }
 
@@ -92,7 +93,8 @@
     }
 }
 
-/// Waits a moment for a configuration, if this instance has none yet.
+/// Waits for a configuration if this instance has none yet, for a part of the time that the caller
+/// has.
 async fn wait_for_configuration(traffic: &Traffic, demand: &Demand) {
     if *traffic.shared.is_configured.borrow() || !Mechanism::KeptAtStart.is_on() {
         return;
@@ -100,11 +102,11 @@
     let kept_ms = outages::kept_ms(demand.deadline_ms.unwrap_or(DEFAULT_DEADLINE_MS));
     let mut is_configured = traffic.shared.is_configured.subscribe();
     let configured = is_configured.wait_for(|is_configured| *is_configured);
-    // Without one in time, the request is refused.
+    // If none arrives in time, `read` refuses the request.
     let _ = tokio::time::timeout(Duration::from_millis(kept_ms), configured).await;
 }
 
-/// Reads a request to its end, finds its route and checks its key.
+/// Finds the route of a request, checks its key and reads its body.
 async fn read(
     traffic: &Traffic,
     demand: Demand,
@@ -165,7 +167,7 @@
     })
 }
 
-/// The host that a request names.
+/// The host from the `Host` header, else from the URI.
 fn host<'a>(headers: &'a HeaderMap, uri: &'a hyper::Uri) -> &'a str {
     let named = headers.get(HOST).and_then(|host| host.to_str().ok());
     named.or(uri.host()).unwrap_or_default()
@@ -211,8 +213,8 @@
     }
 }
 
-/// Reads a body and drops it, since a connection closed with unread bytes is reset, and the caller
-/// would not see the answer.
+/// Reads and drops a body. Closing a connection with unread bytes would reset it, and the caller
+/// would not get the answer.
 async fn discard(body: Incoming, limits: Limits) {
     let read = Limited::new(body, DISCARD_BYTES).collect();
     let _ = tokio::time::timeout(Duration::from_millis(limits.head_timeout_ms), read).await;
--- a/src/gateway/headers.rs
+++ b/src/gateway/headers.rs
@@ -1,9 +1,10 @@
-//! Headers that concern one connection only.
+//! Removal of hop-by-hop headers.
 
 use hyper::HeaderMap;
 use hyper::header::{CONNECTION, HeaderName, TE, TRAILER, TRANSFER_ENCODING, UPGRADE};
 
-/// The headers without those that concern one connection only.
+/// Removes the hop-by-hop headers, which apply to a single connection, including those that the
+/// `Connection` header names.
 pub fn end_to_end(mut headers: HeaderMap) -> HeaderMap {
     let mut named: Vec<HeaderName> = Vec::new();
     for value in headers.get_all(CONNECTION) {
--- a/src/gateway/job.rs
+++ b/src/gateway/job.rs
@@ -1,4 +1,4 @@
-//! A request on its way through this instance: what the caller wants, and by when.
+//! A request that this instance is serving.
 
 use std::cell::Cell;
 use std::sync::Arc;
@@ -12,71 +12,71 @@
 use super::metrics::{Metrics, Time};
 use super::route::Route;
 
-/// A request on its way through this instance.
+/// A request that was read and admitted, with its route and its deadline.
 #[derive(Debug)]
 pub struct Job {
-    /// What the caller says of it.
+    /// What the caller's headers ask for.
     pub demand: Demand,
-    /// Where it goes.
+    /// The route that it matches.
     pub route: Arc<Route>,
-    /// The service that takes it.
+    /// The service to which it is sent.
     pub service: Arc<str>,
-    /// Whose it is, where the caller showed a key.
+    /// The organisation of the caller's key, if it sent one that is known.
     pub organisation: Option<Arc<str>>,
-    /// The rank of the organisation or the route.
+    /// The priority of the organisation, else of the route.
     pub priority: u8,
     /// When it arrived.
     pub since_ms: u64,
-    /// When the caller must have its answer: its deadline or the route's bound.
+    /// The time by which the caller must have its answer: its own deadline or the route's timeout,
+    /// whichever is earlier.
     pub until_ms: u64,
-    /// The method that the caller used.
     pub method: Method,
-    /// Path and query.
+    /// Path and query of the request.
     pub target: String,
-    /// The headers that go to the upstream.
+    /// The headers to pass to the upstream.
     pub headers: HeaderMap,
-    /// Its whole body.
+    /// The whole body.
     pub body: Bytes,
-    /// Whether it is known to have begun to run.
+    /// Whether it is known to have started to run at an upstream.
     pub has_begun: Cell<bool>,
 }
 
 impl Job {
-    /// The caller's name for it, for logs.
+    /// The caller's id of the request, or "-", for logs.
     pub fn id(&self) -> &str {
         self.demand.id.as_deref().unwrap_or("-")
     }
 
-    /// What it is, whatever its id.
+    /// The fingerprint of the request's content, which doesn't depend on its id.
     pub fn fingerprint(&self) -> Fingerprint {
         let Job { method, route, target, organisation, body, .. } = self;
         Fingerprint::of(method, &route.host, target, organisation.as_ref(), body)
     }
 
-    /// How much time an upstream has from now on.
+    /// The time left until the deadline, at least 1 ms.
     pub fn left_ms(&self, now_ms: u64) -> u64 {
         self.until_ms.saturating_sub(now_ms).max(1)
     }
 
-    /// The request as an upstream gets it.
+    /// Builds the request to send to an upstream.
     pub fn request(&self, dialect: &dyn Dialect, dispatch: &Dispatch) -> Request<Full<Bytes>> {
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.method.clone();
-        // The target was read as one, so it can be read again.
+        // The target was parsed from the caller's request, so it can be parsed again.
         *request.uri_mut() = self.target.parse().unwrap_or_default();
         *request.headers_mut() = self.headers.clone();
         dialect.dispatch(request.headers_mut(), dispatch);
         request
     }
 
-    /// Records a time under its organisation and route.
+    /// Records a duration under the request's organisation and route.
     pub fn record_time(&self, metrics: &Metrics, time: Time, value_ms: u64) {
         let nobody: Arc<str> = Arc::from("-");
         let organisation = self.organisation.as_ref().unwrap_or(&nobody);
         metrics.record(time, organisation, &self.route.name, value_ms);
     }
 
-    /// Records how long it took.
+    /// Records an answered request, with the time to its whole answer and to its first token.
     pub fn record(&self, metrics: &Metrics, whole_ms: u64, first_ms: Option<u64>) {
         self.record_time(metrics, Time::Whole, whole_ms);
         if let Some(first_ms) = first_ms {
--- a/src/gateway/open.rs
+++ b/src/gateway/open.rs
@@ -1,4 +1,6 @@
-//! What is open: callers' connections, and requests until the whole answer was taken for writing.
+//! Counts callers' open connections and open requests.
+//!
+//! A request is open until its whole answer has been handed to hyper for writing.
 
 use std::pin::Pin;
 use std::rc::Rc;
@@ -12,11 +14,11 @@
 use super::caller::Progress;
 use super::traffic::Traffic;
 
-/// Counts a caller's connection for as long as it lives.
+/// Counts a caller's connection as open until it is dropped.
 pub struct ConnectionGuard(Rc<Traffic>);
 
 impl ConnectionGuard {
-    /// Counts one more.
+    /// Counts a connection as open.
     pub fn new(traffic: &Rc<Traffic>) -> ConnectionGuard {
         traffic.connections.set(traffic.connections.get() + 1);
         ConnectionGuard(Rc::clone(traffic))
@@ -29,18 +31,18 @@
     }
 }
 
-/// Counts a request as open for as long as it lives, and logs one that ends without a whole answer.
+/// Counts a request as open until it is dropped, and logs it if it ends without a whole answer.
 pub struct OpenGuard {
     traffic: Rc<Traffic>,
     id: Option<Arc<str>>,
-    /// Which request of its connection it is, from one on.
+    /// The number of the request on its connection, from 1.
     number: u32,
     since_ms: u64,
     is_answered: bool,
 }
 
 impl OpenGuard {
-    /// Counts one more.
+    /// Counts a request as open.
     pub fn new(traffic: &Rc<Traffic>, id: Option<Arc<str>>, number: u32) -> OpenGuard {
         traffic.open.set(traffic.open.get() + 1);
         let since_ms = traffic.now_ms();
@@ -57,14 +59,14 @@
         }
         let is_stopping = traffic.stop.get().is_some();
         traffic.metrics.count(if is_stopping { "unanswered_stopping" } else { "unanswered" });
-        slog::info!(traffic.log, "unanswered: its caller left, or this instance ended";
+        slog::info!(traffic.log, "request not fully answered: its caller disconnected, or this instance ended";
             "request" => self.id.as_deref().unwrap_or("-"),
             "number_on_connection" => self.number,
             "ms" => traffic.now_ms() - self.since_ms, "is_stopping" => is_stopping);
     }
 }
 
-/// The body of an answer on its way to a caller; its request is open until it ends.
+/// The body of an answer that is being written to a caller; keeps its request open until it ends.
 pub struct Delivery {
     body: AnswerBody,
     open: OpenGuard,
@@ -72,9 +74,9 @@
 }
 
 impl Delivery {
-    /// Takes over a body and its request.
+    /// Wraps a body and the guard of its request.
     pub fn new(body: AnswerBody, mut open: OpenGuard, progress: Rc<Progress>) -> Delivery {
-        // A whole body is handed over with its head, and may never be polled.
+        // hyper takes a whole body together with the head, and may never poll for its end.
         open.is_answered = matches!(body, AnswerBody::Whole(_));
         Delivery { body, open, progress }
     }
--- a/tests/gateway/calls.rs
+++ b/tests/gateway/calls.rs
@@ -1,4 +1,5 @@
-//! Calls whose answers come whole: at most once, whole, and nobody else's.
+//! Calls, whose answers aren't streamed: each runs at most once, and its caller gets its own whole
+//! answer or none.
 
 use siskinrock_fakes::caller;
 use siskinrock_fakes::service::Fault;
@@ -22,10 +23,10 @@
     assert_eq!(request.header("x-tenant"), Some("huka270"));
     assert!(request.headers.values().all(|value| !value.contains(KEY)));
     let left: u64 = request.header("x-request-deadline").unwrap().parse().unwrap();
-    assert!(left <= 1_200, "the route's bound is shorter than the caller's: {left}");
+    assert!(left <= 1_200, "the route's timeout is shorter than the caller's: {left}");
 }
 
-/// Whatever an upstream does, a booking runs once at most, and its caller gets no wrong answer.
+/// Whatever fault an upstream has, a booking runs at most once, and its caller gets no wrong answer.
 #[parameterized(
     lost_answer = { Fault::LostAnswer, 502 },
     truncated = { Fault::Truncated, 502 },
@@ -58,7 +59,7 @@
 #[tokio::test]
 async fn a_look_up_goes_on_at_another_upstream() {
     let running = support::start(1).await;
-    // Two of three lose their answers, so that a second attempt may help or not; none is wrong.
+    // One of the three upstreams loses its answers, so that some calls need a second attempt.
     running.site.services[0].fail(Fault::LostAnswer);
     let mut served = 0;
     for _ in 0..20 {
@@ -89,14 +90,14 @@
 #[tokio::test]
 async fn an_upstream_whose_address_another_one_has_is_left() {
     let running = support::start(1).await;
-    // The list still names earlier lives at the addresses of two of the three.
+    // The registry still lists earlier processes at the addresses of two of the three upstreams.
     for index in [0, 1] {
         let service = &running.site.services[index];
         let entry = site::server_entry("booking-app", "ranong-hall", "ready", service.addr);
         running.site.store.remove(&format!("servers/{}", service.id));
         running.site.store.put(&format!("servers/gone-{index}"), &entry);
     }
-    siskinrock_fakes::process::wait_for("the earlier lives are listed", async || {
+    siskinrock_fakes::process::wait_for("the earlier processes are listed", async || {
         caller::send(running.front(0), &call("GET", "/look/seat")).await.unwrap();
         let seen = running.site.services[0].seen();
         seen.iter().any(|seen| !seen.ran)
@@ -115,7 +116,7 @@
     running.site.store.remove(&format!("servers/{}", running.site.services[1].id));
     let count = |index: usize| running.site.services[index].seen().len();
     let fronts = [running.front(0), running.front(1)];
-    siskinrock_fakes::process::wait_for("both instances have taken it in", async || {
+    siskinrock_fakes::process::wait_for("both instances have received the change", async || {
         let before = (count(0), count(1));
         for front in fronts.iter().cycle().take(20) {
             let answer = caller::send(*front, &call("GET", "/look/seat")).await.unwrap();
--- a/tests/gateway/connections.rs
+++ b/tests/gateway/connections.rs
@@ -1,4 +1,5 @@
-//! Planned stops: what was accepted and is not counted where a connection, thread or process ends.
+//! Requests and registrations that were lost when a connection, a thread or the process ended, mostly
+//! during a planned stop.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,16 +14,16 @@
 
 use crate::support::{self, call, plan};
 
-/// How long callers may keep an address that they were told: the stop ends after that at the earliest.
+/// How long callers may use an address that they resolved; a planned stop takes at least that long.
 const KEEP: Duration = Duration::from_millis(2_000);
 
 async fn connect(front: SocketAddr) -> Connection {
     Connection::new(TcpStream::connect(front).await.unwrap())
 }
 
-/// A caller whose body was still coming when the last answers of a stop were given got 502 and
-/// `"ran":"unknown"`, though nothing had been sent to any service and nothing ever will be: it may
-/// not send a booking again, for no reason. Only what was handed to an upstream is unknown.
+/// Guards against an answer with 502 and `"ran":"unknown"` for a request whose body was incomplete when
+/// the stop answered the remaining requests. It had not been sent to any upstream, and after such an
+/// answer a caller can't repeat a booking.
 #[tokio::test]
 async fn a_request_whose_body_is_still_coming_is_told_that_it_did_not_run() {
     let running = support::start(1).await;
@@ -38,11 +39,11 @@
     assert!(matches!(answer.status(), 408 | 503), "it never ran: {} {body}", answer.status());
 }
 
-/// While a stream or a long answer was being written, its connection stood as idle, so the first
-/// bytes of the caller's next request made it stand as `Stage::Head`; when the head's time was
-/// over, a bare 408 was written into the middle of the stream and the connection was closed.
+/// Guards against a 408 written into the middle of a stream. The connection was taken for idle while
+/// the answer was being written, so the first bytes of the next request set it to `Stage::Head`; after
+/// the head timeout the 408 was written and the connection was closed.
 ///
-/// hyper reads while it writes (`mid_message_detect_eof`), so the bytes are seen at once.
+/// hyper reads while it writes (`mid_message_detect_eof`), so it reads those bytes at once.
 #[tokio::test]
 async fn the_next_head_does_not_break_the_answer_before_it() {
     const HEAD_TIMEOUT_MS: u64 = 200;
@@ -68,9 +69,9 @@
     }
 }
 
-/// After a stream that was longer than the idle timeout, its connection was closed at once, without
-/// a word in the stream's head, though callers may reuse it for most of that timeout: the idle time
-/// was counted from the head of the answer and not from its end.
+/// Guards against closing a connection right after a stream that takes longer than the idle timeout,
+/// without `Connection: close` in its head. The idle time was counted from the head of the answer
+/// instead of its end, but callers may reuse a connection for most of the idle timeout.
 #[tokio::test]
 async fn the_idle_time_begins_at_the_end_of_an_answer() {
     const TIMEOUT_MS: u64 = 400;
@@ -91,9 +92,9 @@
     assert_eq!(answer.status(), 200);
 }
 
-/// Half a head that came in the same bytes as the request before it was closed with the kept
-/// connection: the stage is set to `Head` by a read, and here none follows, as hyper has the bytes
-/// in its buffer already. The head's own timeout does not run for it either.
+/// Guards against closing a connection with half a head that arrived in the same read as the request
+/// before it. Only a read sets `Stage::Head`, and none follows here, since hyper has the bytes in its
+/// buffer already. For the same reason the head timeout does not run.
 #[tokio::test]
 async fn a_head_that_came_with_the_request_before_it_is_answered() {
     let running = support::start(1).await;
@@ -109,8 +110,9 @@
     assert_eq!(answer.status(), 200);
 }
 
-/// A registration that was on its way to the directory when the order to stop came was made after
-/// the stop had looked for one to remove, and outlived the process by its whole lease.
+/// Guards against a registration that outlives the process until its lease expires. It was in flight to
+/// the directory at the signal to stop, and was stored after the stop had looked for registrations to
+/// remove.
 #[tokio::test]
 async fn a_registration_under_way_at_the_order_is_removed() {
     let mut running = support::start(1).await;
@@ -120,7 +122,7 @@
     running.site.store.fail(store::Fault::Slow);
     running.add(1);
     wait_for("it has started", async || running.gateways[1].logged().contains("started")).await;
-    // Two slow calls make a registration; the order comes during one of them.
+    // A registration takes two slow calls; the signal arrives during one of them.
     tokio::time::sleep(Duration::from_millis(200)).await;
     running.gateways[1].signal(libc::SIGTERM);
     wait_for("the process has ended", async || running.gateways[1].has_ended()).await;
@@ -131,8 +133,9 @@
     assert!(left.is_empty(), "a process that has ended is still registered: {left:?}");
 }
 
-/// An instance whose address for callers was taken went on without a traffic thread: the control
-/// thread looked at the other's end only after an order to stop, and told callers to come.
+/// Guards against an instance that runs on without a traffic thread because its address for callers is
+/// in use. The control thread noticed the end of the traffic thread only after a signal to stop, and
+/// reported the instance as ready.
 #[tokio::test]
 async fn an_instance_that_cannot_take_callers_ends() {
     const PATIENCE: Duration = Duration::from_secs(5);
@@ -145,11 +148,12 @@
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
     let is_ready = !running.gateways[1].has_ended() && running.gateways[1].is_ready().await;
-    assert!(!is_ready, "it is ready and can't be reached:\n{}", running.gateways[1].logged());
-    assert!(running.gateways[1].has_ended(), "it lives on and serves nobody");
+    assert!(!is_ready, "it reports ready but can't be reached:\n{}", running.gateways[1].logged());
+    assert!(running.gateways[1].has_ended(), "it still runs but serves nobody");
 }
 
-/// Calls on kept connections at the last moment of a stop either run and are answered, or don't run.
+/// A call on a kept-alive connection at the last moment of a stop either runs and is answered, or
+/// doesn't run.
 #[tokio::test]
 async fn calls_on_kept_connections_are_answered_to_the_end() {
     const CALLERS: u64 = 60;
@@ -163,7 +167,7 @@
             let mut kept = connect(front).await;
             kept.write(&call("POST", "/book/a").encode()).await.unwrap();
             kept.read_answer().await.unwrap();
-            // About the moment at which idle connections are closed.
+            // Around the time at which the stop closes idle connections.
             let at = start + KEEP - Duration::from_millis(30) + Duration::from_millis(number);
             tokio::time::sleep_until(at).await;
             let sent = call("POST", "/book/a");
--- a/tests/gateway/front.rs
+++ b/tests/gateway/front.rs
@@ -1,4 +1,4 @@
-//! What callers may send, and what they get if it is too much, too slow or no request at all.
+//! Refusal of requests that are malformed, too large, too slow or not allowed.
 
 use siskinrock_fakes::caller::{self, Call};
 use siskinrock_fakes::http::Connection;
@@ -25,7 +25,7 @@
     assert_eq!(running.runs_of(&sent.id), 0);
 }
 
-/// A request inside another one, or bytes that are no request, are refused as a whole.
+/// A request with an ambiguous length, a bad chunk or a head that is too long reaches no upstream.
 #[parameterized(
     two_lengths = { "Content-Length: 5\r\nContent-Length: 9\r\n\r\nhello" },
     bad_chunk = { "Transfer-Encoding: chunked\r\n\r\nzz\r\n" },
@@ -46,8 +46,8 @@
     assert_eq!(running.runs_of("m1"), 0);
 }
 
-/// Of two lengths the chunks count, as the standard says; what follows them is no request of its
-/// own that reaches an upstream with another body.
+/// In a request with both `Content-Length` and `Transfer-Encoding: chunked`, the chunks determine the
+/// body, as the HTTP standard requires. A request in the body must not be served as one of its own.
 #[tokio::test]
 async fn nothing_is_smuggled_inside_a_request() {
     let running = support::start(1).await;
@@ -82,7 +82,7 @@
     }
 }
 
-/// A head that never ends is refused, as a request that has not run, and holds nothing up.
+/// A head that isn't completed is refused with a status that says that the request has not run.
 #[tokio::test]
 async fn a_head_that_does_not_end_is_refused() {
     let running = support::start(1).await;
