--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -23,18 +23,18 @@
 use super::worker::{Lease, What, Worker};
 
 /// The maximum size of an answer, which is held in memory until it is whole.
-const LONGEST_ANSWER_BYTES: usize = 8 << 20;
+const MAX_ANSWER_BYTES: usize = 8 << 20;
 /// How many attempts may fail before a byte was sent: all upstreams of a service in one failure
 /// domain may refuse connections.
-const UNSENT_TRIES: u32 = 6;
+const MAX_UNSENT_ATTEMPTS: u32 = 6;
 
 /// How one attempt ended.
 #[derive(Debug)]
 enum Outcome {
     /// The upstream's whole answer.
-    Answered(Whole),
+    Answered(WholeAnswer),
     /// The request has not run.
-    NotRun { answered: Option<Whole>, was_sent: bool },
+    NotRun { answered: Option<WholeAnswer>, was_sent: bool },
     /// The request was not sent, because the upstream is throttled.
     Throttled,
     /// Another upstream answered at the address, so the request has not run. Unlike `NotRun`, this
@@ -57,7 +57,7 @@
     /// Ranks the outcomes of two attempts at one request; the higher one is its outcome. A good answer
     /// comes first, then any other answer, then an attempt that may have run, since a request has "not
     /// run" only if neither attempt ran.
-    fn weight(&self) -> u8 {
+    fn precedence(&self) -> u8 {
         match self {
             Outcome::Answered(_) if self.is_good() => 3,
             Outcome::Answered(_) => 2,
@@ -72,7 +72,7 @@
 
 /// A whole answer of an upstream.
 #[derive(Debug)]
-struct Whole {
+struct WholeAnswer {
     status: u16,
     headers: HeaderMap,
     body: Bytes,
@@ -82,38 +82,39 @@
 pub async fn serve(traffic: &Rc<Traffic>, job: &Job) -> Answer {
     let mut constraints =
         Constraints { near: Some(Arc::clone(&traffic.settings.domain)), ..Constraints::default() };
-    // `sent` counts the attempts against the route's limit, `arrived` all that reached an upstream,
-    // and `unsent` those of which no byte was sent.
+    // `sent` counts the attempts against the route's limit, `reached_upstream` all attempts that
+    // reached an upstream, and `unsent_attempts` those of which no byte was sent.
     let mut sent = 0;
-    let mut arrived = 0;
-    let mut unsent = 0;
-    let mut last = Failure::NoUpstream;
+    let mut reached_upstream = 0;
+    let mut unsent_attempts = 0;
+    let mut last_failure = Failure::NoUpstream;
     let mut may_have_run = false;
     loop {
         if traffic.now_ms() >= job.until_ms {
-            let failure = if arrived == 0 { Failure::TimeOverUnsent } else { last };
+            let failure =
+                if reached_upstream == 0 { Failure::TimeOverUnsent } else { last_failure };
             return finish(job, traffic, failure, may_have_run);
         }
         let Some(worker) = traffic.choose(&job.service, &constraints) else {
-            return finish(job, traffic, last, may_have_run);
+            return finish(job, traffic, last_failure, may_have_run);
         };
         constraints.not.push(Arc::clone(&worker.upstream.id));
         let can_hedge = Mechanism::Hedge.is_on()
             && job.route.repeat == Repeat::Idempotent
             && sent + 1 < job.route.max_attempts;
         let (worker, outcome) = if can_hedge {
-            let (worker, outcome, sent_besides) =
-                hedged(traffic, job, &worker, arrived == 0, &mut constraints).await;
-            sent += sent_besides;
+            let (worker, outcome, extra_attempts) =
+                hedged(traffic, job, &worker, reached_upstream == 0, &mut constraints).await;
+            sent += extra_attempts;
             (worker, outcome)
         } else {
-            let outcome = attempt(traffic, job, &worker, arrived == 0).await;
+            let outcome = attempt(traffic, job, &worker, reached_upstream == 0).await;
             (worker, outcome)
         };
         match outcome {
             Outcome::OverBudget => {
                 traffic.metrics.count("repeats_over_budget");
-                return finish(job, traffic, last, may_have_run);
+                return finish(job, traffic, last_failure, may_have_run);
             }
             Outcome::Answered(whole) => {
                 sent += 1;
@@ -122,43 +123,49 @@
                     && Mechanism::SecondOpinion.is_on()
                     && job.route.repeat == Repeat::Idempotent;
                 if may_repeat && sent < job.route.max_attempts {
-                    log_attempt(
+                    log_failed_attempt(
                         traffic,
                         job,
                         &worker,
                         "answered with an error; trying another upstream",
                     );
-                    if let Some((better, by)) = second_opinion(traffic, job, &mut constraints).await
+                    if let Some((better_answer, answered_by)) =
+                        second_opinion(traffic, job, &mut constraints).await
                     {
-                        return deliver(traffic, job, &by, better);
+                        return deliver(traffic, job, &answered_by, better_answer);
                     }
                 }
                 return deliver(traffic, job, &worker, whole);
             }
             Outcome::NotRun { answered, was_sent } => {
                 if was_sent {
-                    arrived += 1;
+                    reached_upstream += 1;
                     sent += 1;
-                    last = Failure::Full;
+                    last_failure = Failure::Full;
                 } else {
-                    unsent += 1;
+                    unsent_attempts += 1;
                 }
-                log_attempt(traffic, job, &worker, "did not run");
+                log_failed_attempt(traffic, job, &worker, "did not run");
                 // With status 400 every other upstream would refuse it too.
                 if let Some(whole) = answered.filter(|whole| whole.status == 400) {
                     return deliver(traffic, job, &worker, whole);
                 }
-                if sent >= job.route.max_attempts || unsent >= UNSENT_TRIES {
-                    return finish(job, traffic, last, may_have_run);
+                if sent >= job.route.max_attempts || unsent_attempts >= MAX_UNSENT_ATTEMPTS {
+                    return finish(job, traffic, last_failure, may_have_run);
                 }
             }
-            Outcome::Throttled => log_attempt(traffic, job, &worker, "throttled"),
+            Outcome::Throttled => log_failed_attempt(traffic, job, &worker, "throttled"),
             Outcome::Replaced => {
-                arrived += 1;
-                log_attempt(traffic, job, &worker, "another upstream answered at its address");
+                reached_upstream += 1;
+                log_failed_attempt(
+                    traffic,
+                    job,
+                    &worker,
+                    "another upstream answered at its address",
+                );
             }
             Outcome::Unknown { detail } => {
-                arrived += 1;
+                reached_upstream += 1;
                 sent += 1;
                 slog::warn!(traffic.log, "outcome unknown"; "request" => job.id(),
                     "upstream" => &*worker.upstream.id, "detail" => detail,
@@ -166,7 +173,7 @@
                 may_have_run = true;
                 let may_repeat = job.route.repeat == Repeat::Idempotent;
                 if !may_repeat || sent >= job.route.max_attempts {
-                    return finish(job, traffic, last, may_have_run);
+                    return finish(job, traffic, last_failure, may_have_run);
                 }
             }
             Outcome::TimeOver => return finish(job, traffic, Failure::TimeOver, false),
@@ -197,7 +204,7 @@
     };
     let other = match outcome {
         Some(outcome) => return (Rc::clone(worker), outcome, 0),
-        None => second_upstream(traffic, job, worker, constraints),
+        None => choose_hedge_upstream(traffic, job, worker, constraints),
     };
     let Some(other) = other else {
         let outcome = first.await;
@@ -222,7 +229,7 @@
             (first.await, outcome)
         }
     };
-    if second.weight() > first.weight() {
+    if second.precedence() > first.precedence() {
         (Rc::clone(&other), second, 1)
     } else {
         (Rc::clone(worker), first, 1)
@@ -231,7 +238,7 @@
 
 /// Chooses an upstream for a hedge, in another failure domain if possible. Returns none if the retry
 /// budget is used up, no other upstream is left, or the best one is suspected to be down.
-fn second_upstream(
+fn choose_hedge_upstream(
     traffic: &Rc<Traffic>,
     job: &Job,
     worker: &Worker,
@@ -240,11 +247,11 @@
     if !traffic.has_repeat(&job.service) {
         return None;
     }
-    let apart = Constraints {
+    let other_domain = Constraints {
         not_domains: vec![Arc::clone(&worker.upstream.domain)],
         ..constraints.clone()
     };
-    let other = traffic.choose(&job.service, &apart)?;
+    let other = traffic.choose(&job.service, &other_domain)?;
     if traffic.is_doubtful(&other, traffic.now_ms()) {
         return None;
     }
@@ -258,7 +265,7 @@
     traffic: &Rc<Traffic>,
     job: &Job,
     constraints: &mut Constraints,
-) -> Option<(Whole, Rc<Worker>)> {
+) -> Option<(WholeAnswer, Rc<Worker>)> {
     loop {
         let worker = traffic.choose(&job.service, constraints)?;
         constraints.not.push(Arc::clone(&worker.upstream.id));
@@ -277,8 +284,8 @@
     if !traffic.admits(worker).await {
         return Outcome::Throttled;
     }
-    let most = traffic.channel_share(&job.service);
-    let mut lease = match worker.lease(most, traffic.now_ms()).await {
+    let max_channels = traffic.channel_share(&job.service);
+    let mut lease = match worker.lease(max_channels, traffic.now_ms()).await {
         Ok(lease) => lease,
         Err(fault) => {
             worker.ended(true, traffic.now_ms());
@@ -307,16 +314,16 @@
         ..Dispatch::default()
     };
     let request = job.request(&*traffic.dialect, &dispatch);
-    let timing = Timing { traffic, job, since_ms: now_ms };
+    let latency_recorder = LatencyRecorder { traffic, job, since_ms: now_ms };
     let result = tokio::select! {
         result = exchange(traffic, &mut lease, request) => Some(result),
         () = traffic.clock.sleep_until(job.until_ms) => None,
     };
     let Some(result) = result else {
         worker.ended(true, traffic.now_ms());
-        return if lease.channel.written() == 0 { unsent() } else { Outcome::TimeOver };
+        return if lease.channel.bytes_written() == 0 { unsent() } else { Outcome::TimeOver };
     };
-    drop(timing);
+    drop(latency_recorder);
     let may_have_run = match &result {
         Ok((whole, marks)) => !marks.not_run && whole.status != 421,
         Err(fault) => matches!(fault, Fault::Broken { .. }),
@@ -325,18 +332,18 @@
         traffic.note_begun(job, now_ms);
     }
     job.record_time(&traffic.metrics, Time::Upstream, traffic.now_ms() - now_ms);
-    judge(traffic, job, worker, lease, result)
+    classify(traffic, job, worker, lease, result)
 }
 
 /// Records the duration of an attempt when it ends, also if it is dropped: otherwise attempts that
 /// never get an answer would be missing, and the route's latency would be underestimated.
-struct Timing<'a> {
+struct LatencyRecorder<'a> {
     traffic: &'a Traffic,
     job: &'a Job,
     since_ms: u64,
 }
 
-impl Drop for Timing<'_> {
+impl Drop for LatencyRecorder<'_> {
     fn drop(&mut self) {
         if self.job.route.repeat == Repeat::Idempotent {
             self.traffic.note_latency(self.job, self.traffic.now_ms() - self.since_ms);
@@ -348,28 +355,28 @@
     Outcome::NotRun { answered: None, was_sent: false }
 }
 
-type Exchanged = Result<(Whole, Marks), Fault>;
+type ExchangeResult = Result<(WholeAnswer, Marks), Fault>;
 
 async fn exchange(
     traffic: &Traffic,
     lease: &mut Lease,
     request: Request<Full<Bytes>>,
-) -> Exchanged {
+) -> ExchangeResult {
     let response = lease.channel.send(request).await?;
     let (head, body) = response.into_parts();
     let marks = traffic.dialect.marks(&head.headers);
-    let body = Limited::new(body, LONGEST_ANSWER_BYTES).collect().await;
+    let body = Limited::new(body, MAX_ANSWER_BYTES).collect().await;
     let body = body.map_err(|error| Fault::Broken { detail: error.to_string() })?.to_bytes();
-    Ok((Whole { status: head.status.as_u16(), headers: head.headers, body }, marks))
+    Ok((WholeAnswer { status: head.status.as_u16(), headers: head.headers, body }, marks))
 }
 
 /// Derives the outcome of an attempt, and gives its channel back if the channel can be reused.
-fn judge(
+fn classify(
     traffic: &Rc<Traffic>,
     job: &Job,
     worker: &Rc<Worker>,
     lease: Lease,
-    result: Exchanged,
+    result: ExchangeResult,
 ) -> Outcome {
     let now_ms = traffic.now_ms();
     let (whole, marks) = match result {
@@ -421,7 +428,7 @@
     Outcome::Answered(whole)
 }
 
-fn deliver(traffic: &Traffic, job: &Job, worker: &Worker, whole: Whole) -> Answer {
+fn deliver(traffic: &Traffic, job: &Job, worker: &Worker, whole: WholeAnswer) -> Answer {
     let now_ms = traffic.now_ms();
     job.record(&traffic.metrics, now_ms - job.since_ms, None);
     if whole.status < 500 {
@@ -446,7 +453,7 @@
     traffic.refuse(job, &failure, retry_after_ms)
 }
 
-fn log_attempt(traffic: &Traffic, job: &Job, worker: &Worker, what: &'static str) {
+fn log_failed_attempt(traffic: &Traffic, job: &Job, worker: &Worker, what: &'static str) {
     slog::info!(traffic.log, "attempt failed"; "request" => job.id(),
         "upstream" => &*worker.upstream.id, "what" => what);
 }
--- a/src/gateway/channel.rs
+++ b/src/gateway/channel.rs
@@ -24,12 +24,12 @@
 
 /// How long sent bytes may stay unacknowledged: enough for four retransmissions on a link that loses
 /// packets, and well under the shortest deadline of a call.
-const UNACKNOWLEDGED_MS: u64 = 800;
+const TCP_USER_TIMEOUT_MS: u64 = 800;
 /// The interval of keepalive probes on an idle connection, the shortest that the kernel accepts.
-const KEEPALIVE_S: u64 = 1;
+const KEEPALIVE_INTERVAL_S: u64 = 1;
 /// The read buffer of a connection. Response heads are short, and hyper's default limit is over
 /// 400 KB per connection.
-const READ_BUFFER_BYTES: usize = 32 << 10;
+const MAX_READ_BUFFER_BYTES: usize = 32 << 10;
 
 /// Why a channel could not be opened, or a request on it got no answer.
 #[derive(Debug, Clone, PartialEq, Eq, derive_more::Display, derive_more::Error)]
@@ -64,7 +64,7 @@
 pub struct Channel {
     sender: http1::SendRequest<Full<Bytes>>,
     task: JoinHandle<()>,
-    written: Rc<Cell<u64>>,
+    bytes_written: Rc<Cell<u64>>,
 }
 
 impl Drop for Channel {
@@ -81,8 +81,8 @@
     /// Any fault but [`Fault::Broken`].
     pub async fn open(addr: SocketAddr, timeout_ms: u64) -> Result<Channel, Fault> {
         let not_sent = |detail: String| Fault::NotSent { detail };
-        let limit = Duration::from_millis(timeout_ms);
-        let stream = match tokio::time::timeout(limit, TcpStream::connect(addr)).await {
+        let timeout = Duration::from_millis(timeout_ms);
+        let stream = match tokio::time::timeout(timeout, TcpStream::connect(addr)).await {
             Ok(Ok(stream)) => stream,
             Ok(Err(error)) if error.kind() == io::ErrorKind::ConnectionRefused => {
                 return Err(Fault::Refused);
@@ -90,11 +90,11 @@
             Ok(Err(error)) => return Err(not_sent(error.to_string())),
             Err(_) => return Err(Fault::Unreachable { timeout_ms }),
         };
-        tune(&stream).map_err(|error| not_sent(error.to_string()))?;
-        let written = Rc::new(Cell::new(0));
-        let io = TokioIo::new(Counted { stream, written: Rc::clone(&written) });
+        configure_socket(&stream).map_err(|error| not_sent(error.to_string()))?;
+        let bytes_written = Rc::new(Cell::new(0));
+        let io = TokioIo::new(CountingStream { stream, bytes_written: Rc::clone(&bytes_written) });
         let (sender, connection) = http1::Builder::new()
-            .max_buf_size(READ_BUFFER_BYTES)
+            .max_buf_size(MAX_READ_BUFFER_BYTES)
             .handshake(io)
             .await
             .map_err(|error| not_sent(error.to_string()))?;
@@ -102,7 +102,7 @@
             // The request on the connection gets its error; that of an idle connection is ignored.
             let _ = connection.await;
         });
-        Ok(Channel { sender, task, written })
+        Ok(Channel { sender, task, bytes_written })
     }
 
     /// Sends a request and waits for the head of its answer.
@@ -114,15 +114,15 @@
         &mut self,
         request: Request<Full<Bytes>>,
     ) -> Result<Response<Incoming>, Fault> {
-        let before = self.written.get();
+        let written_before = self.bytes_written.get();
         if let Err(error) = self.sender.ready().await {
             return Err(Fault::NotSent { detail: error.to_string() });
         }
         match self.sender.send_request(request).await {
             Ok(response) => Ok(response),
             Err(error) => {
-                let detail = describe(&error);
-                if self.written.get() == before {
+                let detail = error_with_cause(&error);
+                if self.bytes_written.get() == written_before {
                     return Err(Fault::NotSent { detail });
                 }
                 Err(Fault::Broken { detail })
@@ -131,8 +131,8 @@
     }
 
     /// The number of bytes written since the connection was opened.
-    pub fn written(&self) -> u64 {
-        self.written.get()
+    pub fn bytes_written(&self) -> u64 {
+        self.bytes_written.get()
     }
 
     /// Whether the channel can carry another request.
@@ -142,7 +142,7 @@
 }
 
 /// The text of a hyper error and its cause, which names the error of the socket.
-pub fn describe(error: &hyper::Error) -> String {
+pub fn error_with_cause(error: &hyper::Error) -> String {
     match std::error::Error::source(error) {
         Some(cause) => format!("{error}: {cause}"),
         None => error.to_string(),
@@ -151,29 +151,29 @@
 
 /// Disables Nagle's algorithm, and sets TCP timeouts so that the kernel closes the connection to a
 /// peer that stops responding.
-fn tune(stream: &TcpStream) -> io::Result<()> {
+fn configure_socket(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
-    let pause = Duration::from_secs(KEEPALIVE_S);
-    socket.set_tcp_keepalive(&TcpKeepalive::new().with_time(pause).with_interval(pause))?;
-    socket.set_tcp_user_timeout(Some(Duration::from_millis(UNACKNOWLEDGED_MS)))
+    let interval = Duration::from_secs(KEEPALIVE_INTERVAL_S);
+    socket.set_tcp_keepalive(&TcpKeepalive::new().with_time(interval).with_interval(interval))?;
+    socket.set_tcp_user_timeout(Some(Duration::from_millis(TCP_USER_TIMEOUT_MS)))
 }
 
 /// A socket that counts the bytes written to it.
-struct Counted {
+struct CountingStream {
     stream: TcpStream,
-    written: Rc<Cell<u64>>,
+    bytes_written: Rc<Cell<u64>>,
 }
 
-impl Counted {
-    fn count(&self, result: &Poll<io::Result<usize>>) {
+impl CountingStream {
+    fn count_written(&self, result: &Poll<io::Result<usize>>) {
         if let Poll::Ready(Ok(bytes)) = result {
-            self.written.set(self.written.get() + *bytes as u64);
+            self.bytes_written.set(self.bytes_written.get() + *bytes as u64);
         }
     }
 }
 
-impl AsyncRead for Counted {
+impl AsyncRead for CountingStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -183,14 +183,14 @@
     }
 }
 
-impl AsyncWrite for Counted {
+impl AsyncWrite for CountingStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
         let result = Pin::new(&mut self.stream).poll_write(context, bytes);
-        self.count(&result);
+        self.count_written(&result);
         result
     }
 
@@ -200,7 +200,7 @@
         parts: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let result = Pin::new(&mut self.stream).poll_write_vectored(context, parts);
-        self.count(&result);
+        self.count_written(&result);
         result
     }
 
--- a/src/gateway/events.rs
+++ b/src/gateway/events.rs
@@ -6,7 +6,7 @@
 use bytes::{Bytes, BytesMut};
 
 /// The maximum length of an event; a stream with a longer one counts as broken.
-const LONGEST_BYTES: usize = 1 << 20;
+const MAX_EVENT_BYTES: usize = 1 << 20;
 
 /// A complete event as received, including its blank line.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -19,25 +19,25 @@
 
 /// Splits received bytes into events, and buffers the incomplete event at their end.
 #[derive(Debug, Default)]
-pub struct Splitter {
-    left: BytesMut,
+pub struct EventSplitter {
+    incomplete: BytesMut,
 }
 
-impl Splitter {
+impl EventSplitter {
     /// Adds received bytes, and appends each event that is complete now to `out`. Returns false if
     /// the incomplete event exceeds the maximum length.
     pub fn push(&mut self, bytes: &[u8], out: &mut Vec<Event>) -> bool {
-        self.left.extend_from_slice(bytes);
-        while let Some(end) = event_end(&self.left) {
-            let event = self.left.split_to(end).freeze();
+        self.incomplete.extend_from_slice(bytes);
+        while let Some(end) = event_end(&self.incomplete) {
+            let event = self.incomplete.split_to(end).freeze();
             out.push(Event { id: event_id(&event), bytes: event });
         }
-        self.left.len() <= LONGEST_BYTES
+        self.incomplete.len() <= MAX_EVENT_BYTES
     }
 
     /// Whether no incomplete event is buffered.
     pub fn is_empty(&self) -> bool {
-        self.left.is_empty()
+        self.incomplete.is_empty()
     }
 }
 
--- a/src/gateway/stream/relay.rs
+++ b/src/gateway/stream/relay.rs
@@ -9,7 +9,7 @@
 use hyper::body::Incoming;
 
 use super::super::channel;
-use super::super::events::{Event, Splitter};
+use super::super::events::{Event, EventSplitter};
 use super::super::metrics::Time;
 use super::super::policy::silence::{self, Silence};
 use super::super::traffic::{Life, OWN_LAG_MS};
@@ -49,7 +49,7 @@
         let worker = &worker;
         let traffic = Rc::clone(&self.traffic);
         let patience = self.patience();
-        let mut splitter = Splitter::default();
+        let mut splitter = EventSplitter::default();
         let mut events = Vec::new();
         let first_ms = traffic.now_ms();
         let mut heard_ms = first_ms;
@@ -98,7 +98,7 @@
                     frame.into_data().unwrap_or_default()
                 }
                 Some(Err(error)) => {
-                    return self.broke_off(worker, channel::describe(&error));
+                    return self.broke_off(worker, channel::error_with_cause(&error));
                 }
                 None if splitter.is_empty() => {
                     worker.ended(false, heard_ms);
--- a/tests/gateway/decisions.rs
+++ b/tests/gateway/decisions.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use siskinrock::gateway::events::Splitter;
+use siskinrock::gateway::events::EventSplitter;
 use siskinrock::gateway::fleet::{Change, Fleet, Upstream};
 use siskinrock::gateway::policy::budget::{Bound, Budget};
 use siskinrock::gateway::policy::engine::Load;
@@ -313,7 +313,7 @@
     let text =
         "x-weight-versions: 3\nid: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\ndata: c\n\nid: 4\nda";
     for cut in 0..text.len() {
-        let mut splitter = Splitter::default();
+        let mut splitter = EventSplitter::default();
         let mut events = Vec::new();
         splitter.push(&text.as_bytes()[..cut], &mut events);
         splitter.push(&text.as_bytes()[cut..], &mut events);
