--- a/src/gateway/answer.rs
+++ b/src/gateway/answer.rs
@@ -15,10 +15,10 @@
 /// body, so that the caller notices.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, derive_more::Display, derive_more::Error)]
 #[display("the answer could not be completed; the connection is closed")]
-pub struct Cut;
+pub struct Truncated;
 
 /// A chunk of a streamed body, or the error that truncates it.
-pub type Part = Result<Bytes, Cut>;
+pub type BodyChunk = Result<Bytes, Truncated>;
 
 /// The body of an answer.
 #[derive(Debug)]
@@ -26,21 +26,21 @@
     /// The whole body; `None` if it is empty or was passed on.
     Whole(Option<Bytes>),
     /// Chunks as they arrive; the body is complete once the sender is dropped.
-    Growing(mpsc::Receiver<Part>),
+    Streaming(mpsc::Receiver<BodyChunk>),
 }
 
 impl Body for AnswerBody {
     type Data = Bytes;
-    type Error = Cut;
+    type Error = Truncated;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, Truncated>>> {
         match self.get_mut() {
             AnswerBody::Whole(bytes) => Poll::Ready(bytes.take().map(|all| Ok(Frame::data(all)))),
-            AnswerBody::Growing(parts) => {
-                parts.poll_recv(context).map(|part| part.map(|part| part.map(Frame::data)))
+            AnswerBody::Streaming(chunks) => {
+                chunks.poll_recv(context).map(|chunk| chunk.map(|chunk| chunk.map(Frame::data)))
             }
         }
     }
@@ -54,7 +54,7 @@
             AnswerBody::Whole(bytes) => {
                 SizeHint::with_exact(bytes.as_ref().map_or(0, Bytes::len) as u64)
             }
-            AnswerBody::Growing(_) => SizeHint::default(),
+            AnswerBody::Streaming(_) => SizeHint::default(),
         }
     }
 }
@@ -68,8 +68,8 @@
 }
 
 /// Builds an answer with a streamed body.
-pub fn growing(status: u16, headers: HeaderMap, parts: mpsc::Receiver<Part>) -> Answer {
-    build(status, headers, AnswerBody::Growing(parts))
+pub fn streaming(status: u16, headers: HeaderMap, chunks: mpsc::Receiver<BodyChunk>) -> Answer {
+    build(status, headers, AnswerBody::Streaming(chunks))
 }
 
 /// Builds the answer that tells a caller why its request has no answer from an upstream.
--- a/src/gateway/caller.rs
+++ b/src/gateway/caller.rs
@@ -34,14 +34,14 @@
     clock: Clock,
     stage: Cell<Stage>,
     /// Whether bytes of the next request arrived before the answer was written.
-    has_next: Cell<bool>,
+    has_next_request: Cell<bool>,
 }
 
 impl Progress {
     /// Starts to track a connection that was just accepted.
     pub fn new(clock: Clock) -> Progress {
         let stage = Cell::new(Stage::Idle(clock.now_ms()));
-        Progress { clock, stage, has_next: Cell::new(false) }
+        Progress { clock, stage, has_next_request: Cell::new(false) }
     }
 
     pub fn stage(&self) -> Stage {
@@ -49,13 +49,13 @@
     }
 
     /// Records that the head of a request is complete.
-    pub fn begin(&self) {
-        self.has_next.set(false);
+    pub fn head_received(&self) {
+        self.has_next_request.set(false);
         self.stage.set(Stage::Serving);
     }
 
     /// Records that the head of the answer is there.
-    pub fn answer(&self) {
+    pub fn answer_started(&self) {
         self.stage.set(Stage::Answering);
     }
 
@@ -68,20 +68,20 @@
 
     /// Records that the answer is fully written. The idle and head timeouts of the next request start
     /// here and not at the head of the answer, whose body may take far longer than these timeouts.
-    fn flushed(&self) {
+    fn answer_written(&self) {
         if self.stage.get() != Stage::Flushing {
             return;
         }
         let now_ms = self.clock.now_ms();
-        let has_next = self.has_next.take();
-        self.stage.set(if has_next { Stage::Head(now_ms) } else { Stage::Idle(now_ms) });
+        let has_next_request = self.has_next_request.take();
+        self.stage.set(if has_next_request { Stage::Head(now_ms) } else { Stage::Idle(now_ms) });
     }
 
     /// Records that bytes were read.
-    fn read(&self) {
+    fn bytes_read(&self) {
         match self.stage.get() {
             Stage::Idle(_) => self.stage.set(Stage::Head(self.clock.now_ms())),
-            Stage::Answering | Stage::Flushing => self.has_next.set(true),
+            Stage::Answering | Stage::Flushing => self.has_next_request.set(true),
             // The bytes belong to the head, or to the body of the request being served.
             Stage::Head(_) | Stage::Serving => {}
         }
@@ -89,27 +89,27 @@
 }
 
 /// A socket that records when a request starts to arrive and when an answer has been written.
-pub struct Watched {
+pub struct ObservedStream {
     stream: Rc<TcpStream>,
     progress: Rc<Progress>,
     /// Bytes that were taken from the socket but not used; reads return them first.
-    ahead: Bytes,
+    unread: Bytes,
 }
 
-impl Watched {
-    pub fn new(stream: Rc<TcpStream>, progress: Rc<Progress>) -> Watched {
-        Watched { stream, progress, ahead: Bytes::new() }
+impl ObservedStream {
+    pub fn new(stream: Rc<TcpStream>, progress: Rc<Progress>) -> ObservedStream {
+        ObservedStream { stream, progress, unread: Bytes::new() }
     }
 
     /// Puts back bytes that were read but not used; the next reads return them first.
     pub fn put_back(&mut self, unused: Bytes) {
-        self.ahead = unused;
+        self.unread = unused;
     }
 }
 
 /// Writes an answer straight to the socket of a caller whose connection closes before hyper has read
 /// a request to answer.
-pub fn tell(stream: &TcpStream, failure: &Failure) {
+pub fn write_failure(stream: &TcpStream, failure: &Failure) {
     let status = failure.status();
     let body = failure.body();
     let head = format!(
@@ -121,17 +121,17 @@
     let _ = stream.try_write(&[head.as_bytes(), &body].concat());
 }
 
-impl AsyncRead for Watched {
+impl AsyncRead for ObservedStream {
     fn poll_read(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         let this = self.get_mut();
-        if !this.ahead.is_empty() {
-            let length = this.ahead.len().min(buffer.remaining());
-            buffer.put_slice(&this.ahead.split_to(length));
-            this.progress.read();
+        if !this.unread.is_empty() {
+            let length = this.unread.len().min(buffer.remaining());
+            buffer.put_slice(&this.unread.split_to(length));
+            this.progress.bytes_read();
             return Poll::Ready(Ok(()));
         }
         loop {
@@ -140,7 +140,7 @@
                 Ok(read) => {
                     buffer.advance(read);
                     if read > 0 {
-                        this.progress.read();
+                        this.progress.bytes_read();
                     }
                     return Poll::Ready(Ok(()));
                 }
@@ -151,7 +151,7 @@
     }
 }
 
-impl AsyncWrite for Watched {
+impl AsyncWrite for ObservedStream {
     fn poll_write(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -180,7 +180,7 @@
 
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
         // hyper flushes the socket once its own write buffer is empty.
-        self.progress.flushed();
+        self.progress.answer_written();
         Poll::Ready(Ok(()))
     }
 
--- a/src/gateway/connection.rs
+++ b/src/gateway/connection.rs
@@ -14,23 +14,23 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-use super::caller::{self, Progress, Stage, Watched};
+use super::caller::{self, ObservedStream, Progress, Stage};
 use super::failure::Failure;
 use super::front;
-use super::open::{ConnectionGuard, Delivery, OpenGuard};
+use super::open::{ConnectionGuard, DeliveredBody, OpenRequestGuard};
 use super::route::Limits;
 use super::traffic::Traffic;
 
 /// The smallest buffer for a head that hyper accepts.
-pub(super) const LEAST_BUFFER_BYTES: usize = 8 << 10;
+pub(super) const MIN_BUFFER_BYTES: usize = 8 << 10;
 /// The delay after a failed accept; connections that end meanwhile free file descriptors.
-const ACCEPT_AGAIN_MS: u64 = 20;
+const ACCEPT_RETRY_DELAY_MS: u64 = 20;
 /// How often a connection that is to close checks whether its request has arrived or ended. With 300
 /// connections the checks take 8 % of a core.
-const CLOSE_LOOK_MS: u64 = 10;
+const CLOSE_CHECK_INTERVAL_MS: u64 = 10;
 /// How long a planned stop waits for the first request on a new connection. Its caller opened it to
 /// send one, which arrives a round trip later.
-const NEW_CONNECTION_MS: u64 = 100;
+const FIRST_REQUEST_TIMEOUT_MS: u64 = 100;
 
 /// Accepts connections until `close` is set, and then those that are still in the listener's queue.
 pub async fn accept(traffic: Rc<Traffic>, listener: TcpListener, mut close: watch::Receiver<bool>) {
@@ -55,7 +55,7 @@
                 if *close.borrow() {
                     return;
                 }
-                tokio::time::sleep(Duration::from_millis(ACCEPT_AGAIN_MS)).await;
+                tokio::time::sleep(Duration::from_millis(ACCEPT_RETRY_DELAY_MS)).await;
             }
         }
     }
@@ -63,9 +63,9 @@
 
 /// What is to be done with a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Next {
+pub enum NextAction {
     /// Keep serving it.
-    GoOn,
+    KeepServing,
     /// Close it after the request in progress, or at once if there is none.
     Close,
     /// Reject it: the head of a request did not arrive within its timeout.
@@ -76,19 +76,29 @@
 ///
 /// `is_closing`: a planned stop is closing all connections. `is_new`: no request has arrived on this
 /// one yet.
-pub fn next(stage: Stage, is_closing: bool, is_new: bool, limits: &Limits, now_ms: u64) -> Next {
+pub fn next_action(
+    stage: Stage,
+    is_closing: bool,
+    is_new: bool,
+    limits: &Limits,
+    now_ms: u64,
+) -> NextAction {
     match stage {
-        Stage::Head(since_ms) if now_ms >= since_ms + limits.head_timeout_ms => Next::TooSlow,
+        Stage::Head(since_ms) if now_ms >= since_ms + limits.head_timeout_ms => NextAction::TooSlow,
         // hyper would drop the bytes of the incomplete head. The connection closes after the answer
         // to this request instead.
-        Stage::Head(_) => Next::GoOn,
+        Stage::Head(_) => NextAction::KeepServing,
         Stage::Idle(since_ms) => {
-            let is_over = now_ms >= since_ms + limits.idle_timeout_ms;
-            let is_awaited = is_new && now_ms < since_ms + NEW_CONNECTION_MS;
-            if is_over || (is_closing && !is_awaited) { Next::Close } else { Next::GoOn }
+            let is_expired = now_ms >= since_ms + limits.idle_timeout_ms;
+            let awaits_first = is_new && now_ms < since_ms + FIRST_REQUEST_TIMEOUT_MS;
+            if is_expired || (is_closing && !awaits_first) {
+                NextAction::Close
+            } else {
+                NextAction::KeepServing
+            }
         }
-        Stage::Serving | Stage::Answering | Stage::Flushing if is_closing => Next::Close,
-        Stage::Serving | Stage::Answering | Stage::Flushing => Next::GoOn,
+        Stage::Serving | Stage::Answering | Stage::Flushing if is_closing => NextAction::Close,
+        Stage::Serving | Stage::Answering | Stage::Flushing => NextAction::KeepServing,
     }
 }
 
@@ -104,29 +114,30 @@
         let progress = Rc::clone(&progress);
         service_fn(move |request: Request<Incoming>| {
             requests.set(requests.get() + 1);
-            progress.begin();
+            progress.head_received();
             let traffic = Rc::clone(&traffic);
             let progress = Rc::clone(&progress);
             let number = requests.get();
             async move {
                 let demand = traffic.dialect.demand(request.headers());
-                let open = OpenGuard::new(&traffic, demand.id.clone(), number);
+                let open = OpenRequestGuard::new(&traffic, demand.id.clone(), number);
                 let answer = front::serve(&traffic, demand, request).await;
-                progress.answer();
-                Ok::<_, Infallible>(answer.map(|body| Delivery::new(body, open, progress)))
+                progress.answer_started();
+                Ok::<_, Infallible>(answer.map(|body| DeliveredBody::new(body, open, progress)))
             }
         })
     };
     let stream = Rc::new(stream);
-    let watched = Watched::new(Rc::clone(&stream), Rc::clone(&progress));
+    let observed = ObservedStream::new(Rc::clone(&stream), Rc::clone(&progress));
     let mut builder = http1::Builder::new();
-    builder.max_buf_size(limits.head_bytes.max(LEAST_BUFFER_BYTES));
-    let mut connection = builder.serve_connection(TokioIo::new(watched), service);
+    builder.max_buf_size(limits.head_bytes.max(MIN_BUFFER_BYTES));
+    let mut connection = builder.serve_connection(TokioIo::new(observed), service);
     let mut is_closing = false;
     let mut has_closed = false;
     loop {
-        let is_looking = is_closing && !has_closed;
-        let patience_ms = if is_looking { CLOSE_LOOK_MS } else { limits.head_timeout_ms.max(1) };
+        let is_checking = is_closing && !has_closed;
+        let wait_ms =
+            if is_checking { CLOSE_CHECK_INTERVAL_MS } else { limits.head_timeout_ms.max(1) };
         tokio::select! {
             // Bytes that have arrived are read before the connection is closed.
             biased;
@@ -137,32 +148,32 @@
                 return;
             }
             _ = close.wait_for(|close| *close), if !is_closing => is_closing = true,
-            () = tokio::time::sleep(Duration::from_millis(patience_ms)) => {}
+            () = tokio::time::sleep(Duration::from_millis(wait_ms)) => {}
         }
         let is_new = requests.get() == 0;
         let stage = progress.stage();
-        match next(stage, is_closing, is_new, &limits, traffic.now_ms()) {
-            Next::Close if matches!(stage, Stage::Idle(_)) => {
+        match next_action(stage, is_closing, is_new, &limits, traffic.now_ms()) {
+            NextAction::Close if matches!(stage, Stage::Idle(_)) => {
                 let idle = connection.into_parts();
                 if idle.read_buf.is_empty() {
                     return;
                 }
                 // The start of the next head was read together with the request before it.
-                let mut watched = idle.io.into_inner();
-                watched.put_back(idle.read_buf);
-                connection = builder.serve_connection(TokioIo::new(watched), idle.service);
+                let mut observed = idle.io.into_inner();
+                observed.put_back(idle.read_buf);
+                connection = builder.serve_connection(TokioIo::new(observed), idle.service);
             }
-            Next::Close if !has_closed => {
+            NextAction::Close if !has_closed => {
                 has_closed = true;
                 Pin::new(&mut connection).graceful_shutdown();
             }
-            Next::TooSlow => {
+            NextAction::TooSlow => {
                 let failure = Failure::TooSlow { timeout_ms: limits.head_timeout_ms };
                 slog::warn!(traffic.log, "rejected"; "status" => failure.status(),
                     "why" => %failure);
-                return caller::tell(&stream, &failure);
+                return caller::write_failure(&stream, &failure);
             }
-            Next::Close | Next::GoOn => {}
+            NextAction::Close | NextAction::KeepServing => {}
         }
     }
 }
--- a/src/gateway/open.rs
+++ b/src/gateway/open.rs
@@ -10,7 +10,7 @@
 use bytes::Bytes;
 use hyper::body::{Body, Frame, SizeHint};
 
-use super::answer::{AnswerBody, Cut};
+use super::answer::{AnswerBody, Truncated};
 use super::caller::Progress;
 use super::traffic::Traffic;
 
@@ -32,7 +32,7 @@
 }
 
 /// Counts a request as open until it is dropped, and logs it if it ends without a whole answer.
-pub struct OpenGuard {
+pub struct OpenRequestGuard {
     traffic: Rc<Traffic>,
     id: Option<Arc<str>>,
     /// The number of the request on its connection, from 1.
@@ -41,16 +41,16 @@
     is_answered: bool,
 }
 
-impl OpenGuard {
+impl OpenRequestGuard {
     /// Counts a request as open.
-    pub fn new(traffic: &Rc<Traffic>, id: Option<Arc<str>>, number: u32) -> OpenGuard {
+    pub fn new(traffic: &Rc<Traffic>, id: Option<Arc<str>>, number: u32) -> OpenRequestGuard {
         traffic.open.set(traffic.open.get() + 1);
         let since_ms = traffic.now_ms();
-        OpenGuard { traffic: Rc::clone(traffic), id, number, since_ms, is_answered: false }
+        OpenRequestGuard { traffic: Rc::clone(traffic), id, number, since_ms, is_answered: false }
     }
 }
 
-impl Drop for OpenGuard {
+impl Drop for OpenRequestGuard {
     fn drop(&mut self) {
         let traffic = &self.traffic;
         traffic.open.set(traffic.open.get() - 1);
@@ -59,7 +59,7 @@
         }
         let is_stopping = traffic.stop.get().is_some();
         traffic.metrics.count(if is_stopping { "unanswered_stopping" } else { "unanswered" });
-        slog::info!(traffic.log, "request not fully answered: its caller disconnected, or this instance ended";
+        slog::info!(traffic.log, "request not fully answered: caller disconnected or instance ended";
             "request" => self.id.as_deref().unwrap_or("-"),
             "number_on_connection" => self.number,
             "ms" => traffic.now_ms() - self.since_ms, "is_stopping" => is_stopping);
@@ -67,29 +67,33 @@
 }
 
 /// The body of an answer that is being written to a caller; keeps its request open until it ends.
-pub struct Delivery {
+pub struct DeliveredBody {
     body: AnswerBody,
-    open: OpenGuard,
+    open: OpenRequestGuard,
     progress: Rc<Progress>,
 }
 
-impl Delivery {
+impl DeliveredBody {
     /// Wraps a body and the guard of its request.
-    pub fn new(body: AnswerBody, mut open: OpenGuard, progress: Rc<Progress>) -> Delivery {
+    pub fn new(
+        body: AnswerBody,
+        mut open: OpenRequestGuard,
+        progress: Rc<Progress>,
+    ) -> DeliveredBody {
         // hyper takes a whole body together with the head, and may never poll for its end.
         open.is_answered = matches!(body, AnswerBody::Whole(_));
-        Delivery { body, open, progress }
+        DeliveredBody { body, open, progress }
     }
 }
 
-impl Body for Delivery {
+impl Body for DeliveredBody {
     type Data = Bytes;
-    type Error = Cut;
+    type Error = Truncated;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, Truncated>>> {
         let frame = std::task::ready!(Pin::new(&mut self.body).poll_frame(context));
         if frame.is_none() {
             self.open.is_answered = true;
@@ -106,7 +110,7 @@
     }
 }
 
-impl Drop for Delivery {
+impl Drop for DeliveredBody {
     fn drop(&mut self) {
         self.progress.body_ended();
     }
--- a/src/gateway/questions.rs
+++ b/src/gateway/questions.rs
@@ -89,7 +89,7 @@
                 async move { Ok::<_, Infallible>(answer.await) }
             });
             let served = http1::Builder::new()
-                .max_buf_size(connection::LEAST_BUFFER_BYTES)
+                .max_buf_size(connection::MIN_BUFFER_BYTES)
                 .serve_connection(TokioIo::new(stream), service);
             // A broken connection concerns its asker only.
             let _ = tokio::time::timeout(Duration::from_millis(limit.each_ms), served).await;
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -17,7 +17,7 @@
 use self::attempt::Opened;
 use self::copy::{CopyAt, NewCopy};
 use super::ablation::Mechanism;
-use super::answer::{self, Answer, Cut, Part};
+use super::answer::{self, Answer, BodyChunk, Truncated};
 use super::dialect::Copy;
 use super::failure::Failure;
 use super::job::Job;
@@ -133,7 +133,7 @@
     traffic: Rc<Traffic>,
     job: Rc<Job>,
     head: Option<oneshot::Sender<Answer>>,
-    body: Option<mpsc::Sender<Part>>,
+    body: Option<mpsc::Sender<BodyChunk>>,
     last_event: Option<u64>,
     last_event_ms: u64,
     first_ms: Option<u64>,
@@ -418,7 +418,7 @@
         if let Some(body) = self.body.take() {
             // Without its last chunk, the answer can't be taken for a complete one.
             tokio::task::spawn_local(async move {
-                let _ = body.send(Err(Cut)).await;
+                let _ = body.send(Err(Truncated)).await;
             });
         }
         self.answer(answer);
@@ -451,7 +451,7 @@
 /// Ends when the caller has closed its connection.
 async fn caller_left(
     head: &mut Option<oneshot::Sender<Answer>>,
-    body: &Option<mpsc::Sender<Part>>,
+    body: &Option<mpsc::Sender<BodyChunk>>,
 ) {
     match (head, body) {
         (Some(head), _) => head.closed().await,
--- a/src/gateway/stream/attempt.rs
+++ b/src/gateway/stream/attempt.rs
@@ -343,7 +343,7 @@
             let mut kept: HeaderMap = headers::end_to_end(head.headers);
             kept.remove(CONTENT_LENGTH);
             self.body = Some(parts);
-            self.answer(answer::growing(head.status.as_u16(), kept, growing));
+            self.answer(answer::streaming(head.status.as_u16(), kept, growing));
         }
         body
     }
