--- a/src/gateway/failure.rs
+++ b/src/gateway/failure.rs
@@ -8,12 +8,12 @@
 
 /// When to retry after a refusal for a temporary reason while the service has upstreams. If it has
 /// none, [`super::policy::outages`] sets the delay.
-const SOON_MS: u64 = 300;
+const RETRY_DELAY_MS: u64 = 300;
 /// When to retry at another address: almost at once. The delay is for a caller that has no other
 /// address yet.
-const ELSEWHERE_MS: u64 = 20;
+const RETRY_ELSEWHERE_DELAY_MS: u64 = 20;
 /// When to retry at an instance that has no configuration yet; reading one takes a few calls.
-const STARTING_MS: u64 = 500;
+const STARTING_RETRY_DELAY_MS: u64 = 500;
 
 /// Why a request wasn't served; the HTTP status says whether it may have run.
 #[derive(Debug, Clone, PartialEq, Eq, derive_more::Display, derive_more::Error)]
@@ -104,7 +104,7 @@
 }
 
 #[derive(Serialize)]
-struct Body {
+struct ErrorBody {
     error: String,
     ran: &'static str,
 }
@@ -134,13 +134,13 @@
     /// When the caller should retry, if a retry may help.
     pub fn retry_after_ms(&self) -> Option<u64> {
         match self {
-            Failure::Starting => Some(STARTING_MS),
-            Failure::Stopping => Some(ELSEWHERE_MS),
+            Failure::Starting => Some(STARTING_RETRY_DELAY_MS),
+            Failure::Stopping => Some(RETRY_ELSEWHERE_DELAY_MS),
             Failure::NoUpstream
             | Failure::Throttled
             | Failure::Full
             | Failure::TooManyRepeats
-            | Failure::TimeOverUnsent => Some(SOON_MS),
+            | Failure::TimeOverUnsent => Some(RETRY_DELAY_MS),
             _ => None,
         }
     }
@@ -153,7 +153,7 @@
             }
             _ => "no",
         };
-        let body = Body { error: self.to_string(), ran };
+        let body = ErrorBody { error: self.to_string(), ran };
         // A struct of two strings always serializes.
         Bytes::from(serde_json::to_vec(&body).unwrap_or_default())
     }
--- a/src/gateway/front.rs
+++ b/src/gateway/front.rs
@@ -25,7 +25,7 @@
 /// The deadline of a request if the caller sets none, and the timeout of a route that sets none.
 const DEFAULT_DEADLINE_MS: u64 = 30_000;
 /// How much of a refused body is read, so that the caller gets the answer instead of a reset.
-const DISCARD_BYTES: usize = 8 << 20;
+const MAX_DISCARDED_BYTES: usize = 8 << 20;
 
 /// Serves a request. If a planned stop is under way, it is answered or refused before the stop ends.
 pub async fn serve(traffic: &Rc<Traffic>, demand: Demand, request: Request<Incoming>) -> Answer {
@@ -44,11 +44,11 @@
         (host(request.headers(), request.uri()).to_owned(), request.uri().path().to_owned());
     let read = tokio::select! {
         biased;
-        read = read(traffic, demand, request) => read,
+        read = read_request(traffic, demand, request) => read,
         // No part of it was sent to an upstream or will be.
         () = traffic.gives_last_answers() => {
             let failure = Failure::Stopping;
-            Err(Rejected { failure, id, host, path, config_version: 0, after_ms: None })
+            Err(Rejected { failure, id, host, path, config_version: 0, retry_after_ms: None })
         }
     };
     match read {
@@ -62,14 +62,14 @@
             // An upstream may be running it, and may crash from it.
             () = traffic.is_quarantined(&job) => {
                 let failure = Failure::Poison { fingerprint: job.fingerprint() };
-                let after_ms = traffic.comes_back_ms(&job, &failure);
-                traffic.refuse(&job, &failure, after_ms)
+                let retry_after_ms = traffic.comes_back_ms(&job, &failure);
+                traffic.refuse(&job, &failure, retry_after_ms)
             }
         },
         Err(rejected) => {
             traffic.metrics.count("rejected");
             rejected.log(traffic);
-            answer::failed(&rejected.failure, rejected.after_ms)
+            answer::failed(&rejected.failure, rejected.retry_after_ms)
         }
     }
 }
@@ -82,7 +82,7 @@
     path: String,
     config_version: u64,
     /// When the caller should retry, if the state of this instance determines it.
-    after_ms: Option<u64>,
+    retry_after_ms: Option<u64>,
 }
 
 impl Rejected {
@@ -102,12 +102,12 @@
     let kept_ms = outages::kept_ms(demand.deadline_ms.unwrap_or(DEFAULT_DEADLINE_MS));
     let mut is_configured = traffic.shared.is_configured.subscribe();
     let configured = is_configured.wait_for(|is_configured| *is_configured);
-    // If none arrives in time, `read` refuses the request.
+    // If none arrives in time, `read_request` refuses the request.
     let _ = tokio::time::timeout(Duration::from_millis(kept_ms), configured).await;
 }
 
 /// Finds the route of a request, checks its key and reads its body.
-async fn read(
+async fn read_request(
     traffic: &Traffic,
     demand: Demand,
     request: Request<Incoming>,
@@ -123,15 +123,15 @@
         host: host.clone(),
         path: head.uri.path().to_owned(),
         config_version: view.config.as_ref().map_or(0, |config| config.version),
-        after_ms: None,
+        retry_after_ms: None,
     };
     let Some(config) = view.config.as_ref() else {
         let is_silent = view.is_directory_silent && Mechanism::RetryAfter.is_on();
-        let after_ms = is_silent.then(|| {
+        let retry_after_ms = is_silent.then(|| {
             let left_ms = demand.deadline_ms.unwrap_or(DEFAULT_DEADLINE_MS);
             outages::starting_after_ms(left_ms, &mut fastrand::Rng::new())
         });
-        return Err(Rejected { after_ms, ..reject(Failure::Starting) });
+        return Err(Rejected { retry_after_ms, ..reject(Failure::Starting) });
     };
     let admitted = admit(config, &demand, &head.headers, &host, head.uri.path());
     let (route, organisation) = match admitted {
@@ -145,9 +145,10 @@
     let service = route.target(fastrand::u64(..));
     let service = service.ok_or_else(|| reject(Failure::NoUpstream))?;
     traffic.note_request(service);
-    let priority = organisation.as_ref().and_then(|known| known.priority);
-    let patience_ms = demand.deadline_ms.unwrap_or(DEFAULT_DEADLINE_MS);
-    let bound_ms = if route.timeout_ms > 0 { route.timeout_ms } else { DEFAULT_DEADLINE_MS };
+    let priority = organisation.as_ref().and_then(|organisation| organisation.priority);
+    let caller_timeout_ms = demand.deadline_ms.unwrap_or(DEFAULT_DEADLINE_MS);
+    let route_timeout_ms =
+        if route.timeout_ms > 0 { route.timeout_ms } else { DEFAULT_DEADLINE_MS };
     let mut headers = headers::end_to_end(head.headers);
     traffic.dialect.strip(&mut headers);
     headers.remove(CONTENT_LENGTH);
@@ -156,10 +157,10 @@
         method: head.method,
         headers,
         service: Arc::clone(service),
-        organisation: organisation.map(|known| known.name),
+        organisation: organisation.map(|organisation| organisation.name),
         priority: priority.unwrap_or(route.priority),
         since_ms,
-        until_ms: since_ms + patience_ms.min(bound_ms),
+        until_ms: since_ms + caller_timeout_ms.min(route_timeout_ms),
         route,
         demand,
         body,
@@ -169,8 +170,8 @@
 
 /// The host from the `Host` header, else from the URI.
 fn host<'a>(headers: &'a HeaderMap, uri: &'a hyper::Uri) -> &'a str {
-    let named = headers.get(HOST).and_then(|host| host.to_str().ok());
-    named.or(uri.host()).unwrap_or_default()
+    let from_header = headers.get(HOST).and_then(|host| host.to_str().ok());
+    from_header.or(uri.host()).unwrap_or_default()
 }
 
 type Admitted = (Arc<Route>, Option<super::route::Organisation>);
@@ -197,9 +198,9 @@
 
 async fn read_body(body: Incoming, headers: &HeaderMap, limits: Limits) -> Result<Bytes, Failure> {
     let too_large = Failure::TooLarge { limit_bytes: limits.body_bytes };
-    let announced = headers.get(CONTENT_LENGTH).and_then(|value| value.to_str().ok());
-    let announced = announced.and_then(|value| value.parse::<u64>().ok()).unwrap_or(0);
-    if announced > limits.body_bytes as u64 {
+    let announced_bytes = headers.get(CONTENT_LENGTH).and_then(|value| value.to_str().ok());
+    let announced_bytes = announced_bytes.and_then(|value| value.parse::<u64>().ok()).unwrap_or(0);
+    if announced_bytes > limits.body_bytes as u64 {
         discard(body, limits).await;
         return Err(too_large);
     }
@@ -216,6 +217,6 @@
 /// Reads and drops a body. Closing a connection with unread bytes would reset it, and the caller
 /// would not get the answer.
 async fn discard(body: Incoming, limits: Limits) {
-    let read = Limited::new(body, DISCARD_BYTES).collect();
+    let read = Limited::new(body, MAX_DISCARDED_BYTES).collect();
     let _ = tokio::time::timeout(Duration::from_millis(limits.head_timeout_ms), read).await;
 }
--- a/src/gateway/headers.rs
+++ b/src/gateway/headers.rs
@@ -8,12 +8,13 @@
 pub fn end_to_end(mut headers: HeaderMap) -> HeaderMap {
     let mut named: Vec<HeaderName> = Vec::new();
     for value in headers.get_all(CONNECTION) {
-        let words = value.to_str().unwrap_or_default().split(',');
-        named.extend(words.filter_map(|word| word.trim().parse().ok()));
+        let options = value.to_str().unwrap_or_default().split(',');
+        named.extend(options.filter_map(|option| option.trim().parse().ok()));
     }
-    let kept_alive = HeaderName::from_static("keep-alive");
-    let of_proxies = HeaderName::from_static("proxy-connection");
-    for name in [CONNECTION, TE, TRAILER, TRANSFER_ENCODING, UPGRADE, kept_alive, of_proxies] {
+    let keep_alive = HeaderName::from_static("keep-alive");
+    let proxy_connection = HeaderName::from_static("proxy-connection");
+    for name in [CONNECTION, TE, TRAILER, TRANSFER_ENCODING, UPGRADE, keep_alive, proxy_connection]
+    {
         headers.remove(name);
     }
     for name in named {
--- a/src/gateway/job.rs
+++ b/src/gateway/job.rs
@@ -70,10 +70,10 @@
     }
 
     /// Records a duration under the request's organisation and route.
-    pub fn record_time(&self, metrics: &Metrics, time: Time, value_ms: u64) {
-        let nobody: Arc<str> = Arc::from("-");
-        let organisation = self.organisation.as_ref().unwrap_or(&nobody);
-        metrics.record(time, organisation, &self.route.name, value_ms);
+    pub fn record_time(&self, metrics: &Metrics, time: Time, duration_ms: u64) {
+        let no_organisation: Arc<str> = Arc::from("-");
+        let organisation = self.organisation.as_ref().unwrap_or(&no_organisation);
+        metrics.record(time, organisation, &self.route.name, duration_ms);
     }
 
     /// Records an answered request, with the time to its whole answer and to its first token.
