--- a/tests/gateway/calls.rs
+++ b/tests/gateway/calls.rs
@@ -35,7 +35,7 @@
     mute = { Fault::Mute, 504 },
 )]
 #[test_macro(tokio::test)]
-async fn a_booking_runs_once_at_most(fault: Fault, status: u16) {
+async fn a_booking_runs_at_most_once(fault: Fault, status: u16) {
     let running = support::start(1).await;
     running.site.services.iter().for_each(|service| service.fail(fault));
     let sent = call("POST", "/book/berth");
@@ -46,7 +46,7 @@
 }
 
 #[tokio::test]
-async fn a_refusal_says_not_run_and_when_to_come_back() {
+async fn a_refusal_says_not_run_and_when_to_retry() {
     let running = support::start(1).await;
     running.site.services.iter().for_each(|service| service.fail(Fault::Full));
     let sent = call("POST", "/book/berth");
@@ -57,7 +57,7 @@
 }
 
 #[tokio::test]
-async fn a_look_up_goes_on_at_another_upstream() {
+async fn a_lookup_is_retried_at_another_upstream() {
     let running = support::start(1).await;
     // One of the three upstreams loses its answers, so that some calls need a second attempt.
     running.site.services[0].fail(Fault::LostAnswer);
@@ -73,7 +73,7 @@
 }
 
 #[tokio::test]
-async fn an_extra_answer_reaches_nobody() {
+async fn an_extra_answer_is_not_delivered() {
     let running = support::start(1).await;
     running.site.services.iter().for_each(|service| service.fail(Fault::ExtraAnswer));
     for _ in 0..40 {
@@ -88,7 +88,7 @@
 }
 
 #[tokio::test]
-async fn an_upstream_whose_address_another_one_has_is_left() {
+async fn an_upstream_replaced_at_its_address_gets_no_more_requests() {
     let running = support::start(1).await;
     // The registry still lists earlier processes at the addresses of two of the three upstreams.
     for index in [0, 1] {
@@ -110,7 +110,7 @@
 }
 
 #[tokio::test]
-async fn a_leaving_upstream_gets_nothing_new() {
+async fn a_draining_upstream_gets_no_new_requests() {
     let running = support::start(2).await;
     running.site.list_service(0, "draining");
     running.site.store.remove(&format!("servers/{}", running.site.services[1].id));
@@ -128,7 +128,7 @@
 }
 
 #[tokio::test]
-async fn a_caller_that_leaves_ends_the_work() {
+async fn a_disconnected_caller_cancels_its_request() {
     let running = support::start(1).await;
     let sent = support::plan();
     let connection = caller::open(running.front(0), &sent).await.unwrap();
--- a/tests/gateway/connections.rs
+++ b/tests/gateway/connections.rs
@@ -15,7 +15,7 @@
 use crate::support::{self, call, plan};
 
 /// How long callers may use an address that they resolved; a planned stop takes at least that long.
-const KEEP: Duration = Duration::from_millis(2_000);
+const ADDRESS_TTL: Duration = Duration::from_millis(2_000);
 
 async fn connect(front: SocketAddr) -> Connection {
     Connection::new(TcpStream::connect(front).await.unwrap())
@@ -25,15 +25,15 @@
 /// the stop answered the remaining requests. It had not been sent to any upstream, and after such an
 /// answer a caller can't repeat a booking.
 #[tokio::test]
-async fn a_request_whose_body_is_still_coming_is_told_that_it_did_not_run() {
+async fn a_stop_refuses_an_incomplete_request_as_not_run() {
     let running = support::start(1).await;
     running.gateways[0].signal(libc::SIGTERM);
     tokio::time::sleep(Duration::from_millis(500)).await;
     let sent = call("POST", "/book/a");
     let bytes = sent.encode();
-    let mut slow = connect(running.front(0)).await;
-    slow.write(&bytes[..bytes.len() - 1]).await.unwrap();
-    let answer = slow.read_answer().await.expect("the request is answered");
+    let mut connection = connect(running.front(0)).await;
+    connection.write(&bytes[..bytes.len() - 1]).await.unwrap();
+    let answer = connection.read_answer().await.expect("the request is answered");
     assert_eq!(running.runs_of(&sent.id), 0);
     let body = String::from_utf8_lossy(&answer.body).into_owned();
     assert!(matches!(answer.status(), 408 | 503), "it never ran: {} {body}", answer.status());
@@ -45,21 +45,21 @@
 ///
 /// hyper reads while it writes (`mid_message_detect_eof`), so it reads those bytes at once.
 #[tokio::test]
-async fn the_next_head_does_not_break_the_answer_before_it() {
+async fn the_next_request_does_not_interrupt_a_stream() {
     const HEAD_TIMEOUT_MS: u64 = 200;
     let site = Site::start(2, 60).await;
     let mut config = site::config(3, &[site::KEY], &[]);
     config["limits"]["header-timeout-ms"] = HEAD_TIMEOUT_MS.into();
     site.store.put("op/config", &config);
     let running = support::start_site(site, 1).await;
-    let mut kept = connect(running.front(0)).await;
-    kept.write(&plan().encode()).await.unwrap();
-    assert_eq!(kept.read_answer().await.unwrap().status(), 200);
+    let mut connection = connect(running.front(0)).await;
+    connection.write(&plan().encode()).await.unwrap();
+    assert_eq!(connection.read_answer().await.unwrap().status(), 200);
     let next = call("POST", "/book/a").encode();
-    kept.write(&next[..next.len() / 3]).await.unwrap();
+    connection.write(&next[..next.len() / 3]).await.unwrap();
     let mut text = String::new();
     loop {
-        let chunk = kept.read_chunk().await.unwrap_or_else(|error| {
+        let chunk = connection.read_chunk().await.unwrap_or_else(|error| {
             panic!("the stream was broken ({error}) after:\n{text}");
         });
         if chunk.is_empty() {
@@ -73,7 +73,7 @@
 /// without `Connection: close` in its head. The idle time was counted from the head of the answer
 /// instead of its end, but callers may reuse a connection for most of the idle timeout.
 #[tokio::test]
-async fn the_idle_time_begins_at_the_end_of_an_answer() {
+async fn the_idle_timeout_starts_at_the_end_of_an_answer() {
     const TIMEOUT_MS: u64 = 400;
     let site = Site::start(2, 60).await;
     let mut config = site::config(3, &[site::KEY], &[]);
@@ -81,14 +81,14 @@
     config["limits"]["idle-timeout-ms"] = TIMEOUT_MS.into();
     site.store.put("op/config", &config);
     let running = support::start_site(site, 1).await;
-    let mut kept = connect(running.front(0)).await;
-    kept.write(&plan().encode()).await.unwrap();
-    let head = kept.read_answer().await.unwrap();
+    let mut connection = connect(running.front(0)).await;
+    connection.write(&plan().encode()).await.unwrap();
+    let head = connection.read_answer().await.unwrap();
     assert_eq!((head.status(), head.header("connection")), (200, None));
-    while !kept.read_chunk().await.expect("the stream comes whole").is_empty() {}
+    while !connection.read_chunk().await.expect("the stream comes whole").is_empty() {}
     tokio::time::sleep(Duration::from_millis(TIMEOUT_MS / 8)).await;
-    kept.write(&call("POST", "/book/a").encode()).await.expect("the connection is open");
-    let answer = kept.read_answer().await.expect("the request is answered");
+    connection.write(&call("POST", "/book/a").encode()).await.expect("the connection is open");
+    let answer = connection.read_answer().await.expect("the request is answered");
     assert_eq!(answer.status(), 200);
 }
 
@@ -96,17 +96,20 @@
 /// before it. Only a read sets `Stage::Head`, and none follows here, since hyper has the bytes in its
 /// buffer already. For the same reason the head timeout does not run.
 #[tokio::test]
-async fn a_head_that_came_with_the_request_before_it_is_answered() {
+async fn a_head_read_with_the_previous_request_is_answered() {
     let running = support::start(1).await;
-    let mut kept = connect(running.front(0)).await;
+    let mut connection = connect(running.front(0)).await;
     let next = Call { deadline_ms: 500, ..call("POST", "/book/a") }.encode();
-    let (begun, rest) = next.split_at(next.len() / 3);
-    kept.write(&[call("POST", "/book/a").encode(), begun.to_vec()].concat()).await.unwrap();
-    assert_eq!(kept.read_answer().await.unwrap().status(), 200);
+    let (head_start, rest) = next.split_at(next.len() / 3);
+    connection
+        .write(&[call("POST", "/book/a").encode(), head_start.to_vec()].concat())
+        .await
+        .unwrap();
+    assert_eq!(connection.read_answer().await.unwrap().status(), 200);
     running.gateways[0].signal(libc::SIGTERM);
-    tokio::time::sleep(KEEP + Duration::from_millis(300)).await;
-    kept.write(rest).await.expect("the connection is open");
-    let answer = kept.read_answer().await.expect("the request is answered");
+    tokio::time::sleep(ADDRESS_TTL + Duration::from_millis(300)).await;
+    connection.write(rest).await.expect("the connection is open");
+    let answer = connection.read_answer().await.expect("the request is answered");
     assert_eq!(answer.status(), 200);
 }
 
@@ -114,11 +117,11 @@
 /// the directory at the signal to stop, and was stored after the stop had looked for registrations to
 /// remove.
 #[tokio::test]
-async fn a_registration_under_way_at_the_order_is_removed() {
+async fn a_registration_in_flight_at_the_stop_signal_is_removed() {
     let mut running = support::start(1).await;
     let registered = running.site.store.keys("");
-    let of_first = || registered.iter().filter(|key| key.contains("edge-0"));
-    assert!(of_first().count() > 0, "an instance is registered: {registered:?}");
+    let of_first_instance = || registered.iter().filter(|key| key.contains("edge-0"));
+    assert!(of_first_instance().count() > 0, "an instance is registered: {registered:?}");
     running.site.store.fail(store::Fault::Slow);
     running.add(1);
     wait_for("it has started", async || running.gateways[1].logged().contains("started")).await;
@@ -137,14 +140,14 @@
 /// in use. The control thread noticed the end of the traffic thread only after a signal to stop, and
 /// reported the instance as ready.
 #[tokio::test]
-async fn an_instance_that_cannot_take_callers_ends() {
-    const PATIENCE: Duration = Duration::from_secs(5);
+async fn an_instance_that_cannot_bind_its_front_address_exits() {
+    const EXIT_TIMEOUT: Duration = Duration::from_secs(5);
     let mut running = support::start(1).await;
     let front = SocketAddr::from((running.place.ip(1), running.place.base_port));
     let _taken = TcpListener::bind(front).await.unwrap();
     running.add(1);
-    let until = Instant::now() + PATIENCE;
-    while Instant::now() < until && !running.gateways[1].has_ended() {
+    let deadline = Instant::now() + EXIT_TIMEOUT;
+    while Instant::now() < deadline && !running.gateways[1].has_ended() {
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
     let is_ready = !running.gateways[1].has_ended() && running.gateways[1].is_ready().await;
@@ -155,7 +158,7 @@
 /// A call on a kept-alive connection at the last moment of a stop either runs and is answered, or
 /// doesn't run.
 #[tokio::test]
-async fn calls_on_kept_connections_are_answered_to_the_end() {
+async fn calls_on_kept_connections_are_answered_until_the_stop_ends() {
     const CALLERS: u64 = 60;
     let mut running = support::start(1).await;
     running.site.services.iter().for_each(|service| service.work_for(25));
@@ -164,22 +167,23 @@
     let start = Instant::now() + Duration::from_millis(300);
     for number in 0..CALLERS {
         callers.spawn(async move {
-            let mut kept = connect(front).await;
-            kept.write(&call("POST", "/book/a").encode()).await.unwrap();
-            kept.read_answer().await.unwrap();
+            let mut connection = connect(front).await;
+            connection.write(&call("POST", "/book/a").encode()).await.unwrap();
+            connection.read_answer().await.unwrap();
             // Around the time at which the stop closes idle connections.
-            let at = start + KEEP - Duration::from_millis(30) + Duration::from_millis(number);
+            let at =
+                start + ADDRESS_TTL - Duration::from_millis(30) + Duration::from_millis(number);
             tokio::time::sleep_until(at).await;
             let sent = call("POST", "/book/a");
-            let is_answered =
-                kept.write(&sent.encode()).await.is_ok() && kept.read_answer().await.is_ok();
+            let is_answered = connection.write(&sent.encode()).await.is_ok()
+                && connection.read_answer().await.is_ok();
             (sent.id, is_answered)
         });
     }
     tokio::time::sleep_until(start).await;
     running.gateways[0].signal(libc::SIGTERM);
-    let heard = callers.join_all().await;
+    let results = callers.join_all().await;
     wait_for("the process has ended", async || running.gateways[0].has_ended()).await;
-    let lost: Vec<_> = heard.iter().filter(|(id, ok)| !ok && running.runs_of(id) > 0).collect();
+    let lost: Vec<_> = results.iter().filter(|(id, ok)| !ok && running.runs_of(id) > 0).collect();
     assert!(lost.is_empty(), "calls ran and were not answered: {lost:?}");
 }
--- a/tests/gateway/front.rs
+++ b/tests/gateway/front.rs
@@ -16,7 +16,7 @@
     too_large = { Call { body: vec![b'x'; 200_000], ..call("POST", "/book/a") }, 413 },
 )]
 #[test_macro(tokio::test)]
-async fn what_is_not_allowed_reaches_no_upstream(sent: Call, status: u16) {
+async fn a_request_that_is_not_allowed_reaches_no_upstream(sent: Call, status: u16) {
     let running = support::start(1).await;
     let answer = caller::send(running.front(0), &sent).await.unwrap();
     assert_eq!(answer.status(), status);
@@ -29,7 +29,7 @@
 #[parameterized(
     two_lengths = { "Content-Length: 5\r\nContent-Length: 9\r\n\r\nhello" },
     bad_chunk = { "Transfer-Encoding: chunked\r\n\r\nzz\r\n" },
-    long_head = { LONG },
+    long_head = { LONG_HEADER },
 )]
 #[test_macro(tokio::test)]
 async fn a_malformed_request_is_refused(rest: &str) {
@@ -49,7 +49,7 @@
 /// In a request with both `Content-Length` and `Transfer-Encoding: chunked`, the chunks determine the
 /// body, as the HTTP standard requires. A request in the body must not be served as one of its own.
 #[tokio::test]
-async fn nothing_is_smuggled_inside_a_request() {
+async fn a_request_inside_a_body_is_not_served() {
     let running = support::start(1).await;
     let mut stream = TcpStream::connect(running.front(0)).await.unwrap();
     let inner = call("POST", "/book/inner");
@@ -68,7 +68,7 @@
     }
 }
 
-const LONG: &str = "X-Long: LONG\r\nContent-Length: 0\r\n\r\n";
+const LONG_HEADER: &str = "X-Long: LONG\r\nContent-Length: 0\r\n\r\n";
 
 #[tokio::test]
 async fn a_connection_serves_many_requests() {
@@ -84,7 +84,7 @@
 
 /// A head that isn't completed is refused with a status that says that the request has not run.
 #[tokio::test]
-async fn a_head_that_does_not_end_is_refused() {
+async fn an_incomplete_head_is_refused() {
     let running = support::start(1).await;
     let mut stream = TcpStream::connect(running.front(0)).await.unwrap();
     stream.write_all(b"GET /look/a HTTP/1.1\r\nHost: x\r\n").await.unwrap();
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn a_broken_settings_file_names_every_fault() {
+fn every_error_in_a_settings_file_is_reported() {
     let store = "127.0.0.1:1".parse().unwrap();
     let place = siskinrock_fakes::site::Place { network: [127, 0, 0], base_port: 20_000 };
     let text = siskinrock_fakes::site::boot(place, 0, store, &[], 0.0);
