--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -80,8 +80,10 @@
 
 /// Serves a request whose answer isn't a stream.
 pub async fn serve(traffic: &Rc<Traffic>, job: &Job) -> Answer {
-    let mut constraints =
-        Constraints { near: Some(Arc::clone(&traffic.settings.domain)), ..Constraints::default() };
+    let mut constraints = Constraints {
+        preferred_domain: Some(Arc::clone(&traffic.settings.domain)),
+        ..Constraints::default()
+    };
     // `sent` counts the attempts against the route's limit, `reached_upstream` all attempts that
     // reached an upstream, and `unsent_attempts` those of which no byte was sent.
     let mut sent = 0;
@@ -98,7 +100,7 @@
         let Some(worker) = traffic.choose(&job.service, &constraints) else {
             return finish(job, traffic, last_failure, may_have_run);
         };
-        constraints.not.push(Arc::clone(&worker.upstream.id));
+        constraints.excluded.push(Arc::clone(&worker.upstream.id));
         let can_hedge = Mechanism::Hedge.is_on()
             && job.route.repeat == Repeat::Idempotent
             && sent + 1 < job.route.max_attempts;
@@ -248,14 +250,14 @@
         return None;
     }
     let other_domain = Constraints {
-        not_domains: vec![Arc::clone(&worker.upstream.domain)],
+        avoided_domains: vec![Arc::clone(&worker.upstream.domain)],
         ..constraints.clone()
     };
     let other = traffic.choose(&job.service, &other_domain)?;
     if traffic.is_doubtful(&other, traffic.now_ms()) {
         return None;
     }
-    constraints.not.push(Arc::clone(&other.upstream.id));
+    constraints.excluded.push(Arc::clone(&other.upstream.id));
     Some(other)
 }
 
@@ -268,7 +270,7 @@
 ) -> Option<(WholeAnswer, Rc<Worker>)> {
     loop {
         let worker = traffic.choose(&job.service, constraints)?;
-        constraints.not.push(Arc::clone(&worker.upstream.id));
+        constraints.excluded.push(Arc::clone(&worker.upstream.id));
         match attempt(traffic, job, &worker, false).await {
             Outcome::Answered(whole) if whole.status < 500 => return Some((whole, worker)),
             Outcome::Throttled => {}
--- a/src/gateway/control/duties.rs
+++ b/src/gateway/control/duties.rs
@@ -1,5 +1,5 @@
-//! The controller of duties that one instance at a time has: it keeps the lease, gathers what all count,
-//! and reports it.
+//! Duties that only one instance may run at a time: holds the lease on them, collects the usage counts of all
+//! instances, reports usage, and orders workers.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -9,106 +9,107 @@
 
 use super::super::directory::Fault;
 use super::super::duties::{CreateOutcome, DutyCalls, Fence, Report};
-use super::super::loads::Held;
+use super::super::loads::UpstreamLoad;
 use super::super::membership::{Message, Phase};
 use super::super::policy::lease::{AcquireAttempt, Action};
 use super::super::policy::scaling::{Scaler, ServiceState, WorkerCounts, WorkerOrder};
 use super::super::policy::usage::{Schedule, UsageUpdate, Window};
 use super::super::policy::watchers;
 use super::super::view::DutyView;
-use super::{Board, Control};
+use super::{Control, ControlState};
 use crate::clock;
 
-/// How often it looks what is due.
-const LOOK_MS: u64 = 200;
-/// How often an instance tells what it counted.
-const TELL_MS: u64 = 500;
-/// How often one tells that counted nothing: its clock counts all the same.
-const TELL_NOTHING_MS: u64 = 4_000;
-/// The pause after a call that failed.
-const RETRY_MS: u64 = 300;
-/// The longest pause, where the platform answers none.
-const RETRY_MOST_MS: u64 = 2_000;
+/// How often the lease and the duties are checked.
+const CHECK_INTERVAL_MS: u64 = 200;
+/// How often an instance sends its usage counts.
+const SEND_INTERVAL_MS: u64 = 500;
+/// How often an instance without usage sends a message: its clock is still used to estimate the true time.
+const MAX_SEND_INTERVAL_MS: u64 = 4_000;
+/// The pause after a first failed call; doubled with each further failure up to the maximum.
+const MIN_RETRY_MS: u64 = 300;
+/// The maximum pause after failed calls, while the platform answers none.
+const MAX_RETRY_MS: u64 = 2_000;
 
 impl Control {
-    /// Has the first few in rank know what this instance counted.
-    pub(super) async fn tell_usage(self: Rc<Control>) {
+    /// Periodically sends this instance's usage counts to the instances that may hold the lease.
+    pub(super) async fn send_usage(self: Rc<Control>) {
         if self.usage_schedule().is_none() {
             return;
         }
-        let mut told_ms = 0;
+        let mut last_sent_ms = 0;
         loop {
-            tokio::time::sleep(Duration::from_millis(TELL_MS)).await;
+            tokio::time::sleep(Duration::from_millis(SEND_INTERVAL_MS)).await;
             let now_ms = self.clock.now_ms();
-            let mut board = self.board.borrow_mut();
+            let mut state = self.state.borrow_mut();
             for (organisation, began_ms) in self.shared.take_begun() {
-                board.counter.count(organisation, began_ms);
+                state.usage_counter.count(organisation, began_ms);
             }
-            let slots = board.counter.recent_slots(now_ms);
-            if slots.is_empty() && now_ms < told_ms + TELL_NOTHING_MS {
+            let slots = state.usage_counter.recent_slots(now_ms);
+            if slots.is_empty() && now_ms < last_sent_ms + MAX_SEND_INTERVAL_MS {
                 continue;
             }
-            told_ms = now_ms;
-            let news = UsageUpdate {
+            last_sent_ms = now_ms;
+            let update = UsageUpdate {
                 id: self.me.id.clone(),
                 incarnation: self.me.incarnation,
                 monotonic_ms: now_ms,
                 wall_ms: clock::wall_ms(),
                 slots,
             };
-            let addrs = self.duty_candidates(&board);
-            board.usage.apply(news.clone(), now_ms);
-            drop(board);
-            self.send(&Message::Usage(news), &addrs);
+            let addrs = self.duty_candidates(&state);
+            state.usage.apply(update.clone(), now_ms);
+            drop(state);
+            self.send(&Message::Usage(update), &addrs);
         }
     }
 
-    pub(super) fn hear_usage(&self, news: UsageUpdate) {
+    pub(super) fn handle_usage_update(&self, update: UsageUpdate) {
         let now_ms = self.clock.now_ms();
-        self.board.borrow_mut().usage.apply(news, now_ms);
+        self.state.borrow_mut().usage.apply(update, now_ms);
     }
 
     /// The other instances that may hold the lease.
-    fn duty_candidates(&self, board: &Board) -> Vec<SocketAddr> {
-        let me = (board.membership.my_rank(), self.me.peer_addr);
-        let alive = board.membership.alive();
-        let alive = alive.map(|member| (member.card.rank(), member.card.registration.peer_addr));
-        let mut first = watchers::duty_candidates(alive.chain([me]));
-        first.retain(|addr| *addr != self.me.peer_addr);
-        first
+    fn duty_candidates(&self, state: &ControlState) -> Vec<SocketAddr> {
+        let me = (state.membership.own_rank(), self.me.peer_addr);
+        let alive = state.membership.alive();
+        let alive = alive
+            .map(|member| (member.descriptor.rank(), member.descriptor.registration.peer_addr));
+        let mut candidates = watchers::duty_candidates(alive.chain([me]));
+        candidates.retain(|addr| *addr != self.me.peer_addr);
+        candidates
     }
 
     fn usage_schedule(&self) -> Option<Schedule> {
         self.directory.duties().and_then(|duties| duties.duty_settings().usage)
     }
 
-    /// Takes the lease if it is free and this instance may hold it, and does the duties while it does.
-    pub(super) async fn keep_duties(self: Rc<Control>) {
+    /// Takes the lease if it is free and this instance may hold it, and runs the duties while it holds it.
+    pub(super) async fn run_duties(self: Rc<Control>) {
         let Some(duties) = self.directory.duties() else { return };
         let mut reported = BTreeSet::new();
         let mut scaler = Scaler::default();
-        let mut retry_ms = RETRY_MS;
+        let mut retry_ms = MIN_RETRY_MS;
         loop {
-            tokio::time::sleep(Duration::from_millis(LOOK_MS)).await;
-            let kept = self.keep_lease(duties).await;
-            let done = match kept {
-                Ok(()) => self.do_duties(duties, &mut reported, &mut scaler).await,
+            tokio::time::sleep(Duration::from_millis(CHECK_INTERVAL_MS)).await;
+            let lease_result = self.maintain_lease(duties).await;
+            let duty_result = match lease_result {
+                Ok(()) => self.perform_duties(duties, &mut reported, &mut scaler).await,
                 Err(fault) => Err(fault),
             };
             self.publish_duties();
-            match done {
-                Ok(()) => retry_ms = RETRY_MS,
+            match duty_result {
+                Ok(()) => retry_ms = MIN_RETRY_MS,
                 Err(fault) => {
-                    slog::info!(self.log, "duty not done yet"; "why" => %fault);
+                    slog::info!(self.log, "duty failed; retrying"; "why" => %fault);
                     self.metrics.count("duty_faults");
                     tokio::time::sleep(Duration::from_millis(retry_ms)).await;
-                    retry_ms = (retry_ms * 2).min(RETRY_MOST_MS);
+                    retry_ms = (retry_ms * 2).min(MAX_RETRY_MS);
                 }
             }
         }
     }
 
-    async fn do_duties(
+    async fn perform_duties(
         &self,
         duties: &dyn DutyCalls,
         reported: &mut BTreeSet<u64>,
@@ -119,18 +120,18 @@
         usage.and(scaling)
     }
 
-    async fn keep_lease(&self, duties: &dyn DutyCalls) -> Result<(), Fault> {
+    async fn maintain_lease(&self, duties: &dyn DutyCalls) -> Result<(), Fault> {
         let now_ms = self.clock.now_ms();
         let action = {
-            let mut board = self.board.borrow_mut();
-            let before_me = board.membership.before_me();
+            let mut state = self.state.borrow_mut();
+            let before_me = state.membership.ranked_before_self();
             let is_candidate =
-                board.phase == Phase::Ready && watchers::is_duty_candidate(before_me);
-            let has_it = board.duty_lease.token(now_ms).is_some();
+                state.phase == Phase::Ready && watchers::is_duty_candidate(before_me);
+            let has_it = state.duty_lease.token(now_ms).is_some();
             if !is_candidate && !has_it {
                 return Ok(());
             }
-            board.duty_lease.next_action(before_me, fastrand::u64(1..1 << 53), now_ms)
+            state.duty_lease.next_action(before_me, fastrand::u64(1..1 << 53), now_ms)
         };
         match action {
             None => Ok(()),
@@ -138,19 +139,19 @@
             Some(Action::ReadBack) => {
                 let holder = duties.holder().await?;
                 let now_ms = self.clock.now_ms();
-                let mut board = self.board.borrow_mut();
-                board.duty_lease.note_read(holder.as_ref(), now_ms);
-                board.duty_holder = holder;
+                let mut state = self.state.borrow_mut();
+                state.duty_lease.note_read(holder.as_ref(), now_ms);
+                state.duty_holder = holder;
                 Ok(())
             }
             Some(Action::Renew { lease }) => {
                 let renewed = self.directory.renew(lease).await;
-                let mut board = self.board.borrow_mut();
+                let mut state = self.state.borrow_mut();
                 match renewed {
-                    Ok(()) => board.duty_lease.note_renewed(now_ms),
+                    Ok(()) => state.duty_lease.note_renewed(now_ms),
                     Err(Fault::LeaseEnded) => {
-                        slog::warn!(self.log, "lease of the duties has ended");
-                        board.duty_lease.note_ended(self.clock.now_ms());
+                        slog::warn!(self.log, "the lease on the duties has ended");
+                        state.duty_lease.note_ended(self.clock.now_ms());
                     }
                     Err(fault) => return Err(fault),
                 }
@@ -161,39 +162,39 @@
 
     async fn take_lease(&self, duties: &dyn DutyCalls, nonce: u64) -> Result<(), Fault> {
         let requested_ms = self.clock.now_ms();
-        let ttl_ms = self.board.borrow().duty_lease.ttl_ms();
+        let ttl_ms = self.state.borrow().duty_lease.ttl_ms();
         let lease = duties.grant(ttl_ms).await?;
         let taken = AcquireAttempt { nonce, lease, requested_ms };
         let written = duties.acquire(&self.me.id, nonce, lease).await;
         let now_ms = self.clock.now_ms();
-        let mut board = self.board.borrow_mut();
+        let mut state = self.state.borrow_mut();
         match written {
             Ok(CreateOutcome::Created(token)) => {
-                board.duty_lease.note_acquired(taken, token);
+                state.duty_lease.note_acquired(taken, token);
                 slog::info!(self.log, "duties taken over"; "token" => token);
                 self.metrics.count("duties_taken");
                 Ok(())
             }
             Ok(CreateOutcome::Exists(holder)) => {
-                board.duty_lease.note_holder(Some(&holder), now_ms);
-                board.duty_holder = Some(holder);
+                state.duty_lease.note_holder(Some(&holder), now_ms);
+                state.duty_holder = Some(holder);
                 Ok(())
             }
             Err(fault @ Fault::Refused { .. }) => Err(fault),
             Err(fault) => {
-                board.duty_lease.note_outcome_unknown(taken);
+                state.duty_lease.note_outcome_unknown(taken);
                 Err(fault)
             }
         }
     }
 
-    /// The right to act, if this instance has it at this moment.
+    /// The fence under which duty calls are made, if this instance holds the lease at this moment.
     fn fence(&self) -> Option<Fence> {
-        let token = self.board.borrow().duty_lease.token(self.clock.now_ms())?;
+        let token = self.state.borrow().duty_lease.token(self.clock.now_ms())?;
         Some(Fence { holder: self.me.id.clone(), token })
     }
 
-    /// Reports the windows that are due.
+    /// Reports the usage windows that are due.
     async fn report_usage(
         &self,
         duties: &dyn DutyCalls,
@@ -204,7 +205,7 @@
             reported.clear();
             return Ok(());
         }
-        let cluster_ms = self.board.borrow().usage.cluster_ms(self.clock.now_ms());
+        let cluster_ms = self.state.borrow().usage.cluster_ms(self.clock.now_ms());
         let due: Vec<Window> = schedule.due(cluster_ms).collect();
         let oldest = due.first().map_or(0, |window| window.number);
         reported.retain(|number| *number >= oldest);
@@ -212,19 +213,19 @@
             if reported.contains(&window.number) {
                 continue;
             }
-            let report = self.report_of(duties, window).await?;
+            let report = self.stored_report(duties, window).await?;
             let Some(fence) = self.fence() else { return Ok(()) };
             match duties.send_report(fence, report).await {
                 Ok(()) => {
                     slog::info!(self.log, "usage reported"; "window" => window.number);
                     self.metrics.count("usage_reports");
                     reported.insert(window.number);
-                    self.board.borrow_mut().reported_window = Some(window.number);
+                    self.state.borrow_mut().reported_window = Some(window.number);
                 }
                 Err(Fault::Superseded) => {
-                    slog::warn!(self.log, "usage not reported: a later holder was seen";
+                    slog::warn!(self.log, "usage report rejected: the lease has a newer holder";
                         "window" => window.number);
-                    self.board.borrow_mut().duty_lease.note_ended(self.clock.now_ms());
+                    self.state.borrow_mut().duty_lease.note_ended(self.clock.now_ms());
                     return Ok(());
                 }
                 Err(fault) => return Err(fault),
@@ -233,22 +234,22 @@
         Ok(())
     }
 
-    /// The one report of a window: what an earlier holder stored, or else what is known now. It is
-    /// stored before it is sent, so that whoever takes over sends the same.
-    async fn report_of(&self, duties: &dyn DutyCalls, window: Window) -> Result<Report, Fault> {
-        let counts = self.board.borrow().usage.counts_in(window);
+    /// The only report of a window: the one that an earlier holder stored, or else one of the present counts.
+    /// It is stored before it is sent, so that a later holder sends the same report.
+    async fn stored_report(&self, duties: &dyn DutyCalls, window: Window) -> Result<Report, Fault> {
+        let counts = self.state.borrow().usage.counts_in(window);
         let report = duties.encode_report(window.number, &counts);
         match duties.store_report(window.number, report.clone()).await? {
             CreateOutcome::Created(_) => Ok(report),
             CreateOutcome::Exists(stored) => {
-                slog::info!(self.log, "an earlier holder's report is sent again";
+                slog::info!(self.log, "sending the report that an earlier holder stored";
                     "window" => window.number);
                 Ok(stored)
             }
         }
     }
 
-    /// Orders the workers that are wanted and not there.
+    /// Orders the workers that are needed and missing.
     async fn order_workers(
         &self,
         duties: &dyn DutyCalls,
@@ -283,8 +284,8 @@
 
     fn due_orders(&self, scaler: &mut Scaler) -> Vec<WorkerOrder> {
         let now_ms = self.clock.now_ms();
-        let board = self.board.borrow();
-        let Some(config) = board.config.as_ref().filter(|_| board.has_fleet) else {
+        let state = self.state.borrow();
+        let Some(config) = state.config.as_ref().filter(|_| state.has_fleet) else {
             return Vec::new();
         };
         let own = self.shared.own();
@@ -294,7 +295,7 @@
             let memory_tokens = service.engine.as_ref().and_then(|engine| engine.memory_tokens);
             let Some(memory_tokens) = memory_tokens else { continue };
             let of_service = || {
-                let all = board.fleet.upstreams.values();
+                let all = state.fleet.upstreams.values();
                 all.filter(|upstream| upstream.service == *name)
             };
             let mut workers: BTreeMap<(Arc<str>, bool), WorkerCounts> = BTreeMap::new();
@@ -304,30 +305,31 @@
                 let counted = if upstream.is_leaving { &mut seen.leaving } else { &mut seen.ready };
                 *counted += 1;
             }
-            let held = board.loads.held();
+            let held = state.loads.by_upstream();
             let others = of_service().filter_map(|upstream| held.get(&upstream.id));
-            let is_of_service = |held: &&Held| {
-                let upstream = board.fleet.upstreams.get(&held.upstream);
+            let is_of_service = |held: &&UpstreamLoad| {
+                let upstream = state.fleet.upstreams.get(&held.upstream);
                 upstream.is_some_and(|upstream| upstream.service == *name)
             };
-            let all = others.chain(own.held.iter().filter(is_of_service));
+            let all = others.chain(own.loads.iter().filter(is_of_service));
             let tokens: u64 = all.map(|held| held.reserved_tokens).sum();
             let demand_workers = tokens as f64 / memory_tokens as f64;
-            let state = ServiceState { service: name, policy, workers: &workers, demand_workers };
-            orders.extend(scaler.step(&state, now_ms));
+            let service_state =
+                ServiceState { service: name, policy, workers: &workers, demand_workers };
+            orders.extend(scaler.step(&service_state, now_ms));
         }
         orders
     }
 
     fn publish_duties(&self) {
-        let board = self.board.borrow();
-        let token = board.duty_lease.token(self.clock.now_ms());
+        let state = self.state.borrow();
+        let token = state.duty_lease.token(self.clock.now_ms());
         let holder = match token {
             Some(_) => Some(self.me.id.clone()),
-            None => board.duty_holder.as_ref().map(|holder| holder.id.clone()),
+            None => state.duty_holder.as_ref().map(|holder| holder.id.clone()),
         };
-        let reported = board.reported_window;
-        drop(board);
+        let reported = state.reported_window;
+        drop(state);
         self.metrics.gauge("holds_duties", u64::from(token.is_some()));
         self.shared.set_duties(DutyView { holder, token, reported });
     }
--- a/src/gateway/policy/quarantine.rs
+++ b/src/gateway/policy/quarantine.rs
@@ -15,7 +15,7 @@
 use super::super::crash::{Crash, CrashRecord, EarlyCrash, Stage};
 use super::super::fingerprint::Fingerprint;
 use super::super::fleet::Upstream;
-use super::coincidence::{Ends, SETTLE_MS};
+use super::coincidence::{JUDGEMENT_DELAY_MS, RecentEnds};
 
 /// Crashes of just-started runs after which a request is quarantined. With two, an innocent request
 /// that lost one upstream to a poison request, and was retried on the same next upstream, would be
@@ -133,7 +133,7 @@
 pub struct Quarantine {
     records: BTreeMap<Fingerprint, Record>,
     pending: Vec<Crash>,
-    ends: Ends,
+    ends: RecentEnds,
     /// Incremented on each change of `records`.
     version: u64,
     /// Fingerprints whose records have changed and must be sent to peers.
@@ -167,7 +167,7 @@
         fingerprint: Fingerprint,
         now_ms: u64,
     ) -> bool {
-        self.ends.note_under(upstream, fingerprint, now_ms)
+        self.ends.note_under_request(upstream, fingerprint, now_ms)
     }
 
     /// Takes the early crashes to be sent to peers at once: a request that is sent through several
@@ -184,7 +184,7 @@
         let Crash { fingerprint, upstream, .. } = &crash;
         self.ends.note(upstream, crash.at_ms);
         let is_new = crash.stage == Stage::Begun
-            && self.ends.note_under(upstream, *fingerprint, crash.at_ms);
+            && self.ends.note_under_request(upstream, *fingerprint, crash.at_ms);
         if is_new && self.unsent_early_crashes.len() < MAX_UNSENT_EARLY_CRASHES {
             let upstream = Arc::clone(&upstream.id);
             self.unsent_early_crashes.push(EarlyCrash { upstream, fingerprint: *fingerprint });
@@ -203,7 +203,7 @@
 
     /// Returns when the next crash is due to be judged.
     pub fn next_judgement_ms(&self) -> Option<u64> {
-        self.pending.iter().map(|crash| crash.at_ms + SETTLE_MS).min()
+        self.pending.iter().map(|crash| crash.at_ms + JUDGEMENT_DELAY_MS).min()
     }
 
     /// Judges the crashes that have waited long enough, given the known upstreams. Returns each
@@ -213,7 +213,7 @@
         upstreams: &BTreeMap<Arc<str>, Upstream>,
         now_ms: u64,
     ) -> Vec<(Crash, Judgement)> {
-        let is_due = |crash: &mut Crash| crash.at_ms + SETTLE_MS <= now_ms;
+        let is_due = |crash: &mut Crash| crash.at_ms + JUDGEMENT_DELAY_MS <= now_ms;
         let due: Vec<Crash> = self.pending.extract_if(.., is_due).collect();
         let are_coincident: Vec<bool> =
             due.iter().map(|crash| self.is_coincident(crash, &due, upstreams)).collect();
@@ -242,7 +242,7 @@
             record.is_some_and(|record| record.crashes.contains_key(id))
                 || self.pending.iter().chain(due).any(|other| is_same(other, id))
         };
-        self.ends.is_coincident(crash, is_own, upstreams)
+        self.ends.has_common_cause(crash, is_own, upstreams)
     }
 
     fn count(&mut self, crash: &Crash, now_ms: u64) -> Judgement {
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -24,7 +24,7 @@
 use super::policy::admission;
 use super::policy::engine::Need;
 use super::policy::placement::Constraints;
-use super::policy::silence::Patience;
+use super::policy::silence::SilenceTimeouts;
 use super::route::Repeat;
 use super::traffic::Traffic;
 use super::worker::Worker;
@@ -249,12 +249,13 @@
     /// Waits while those that can still be on time need the engines. False if the caller has left or
     /// its time is over.
     async fn let_others_go_first(&mut self) -> bool {
-        let late = admission::Late { since_ms: self.job.since_ms, until_ms: self.job.until_ms };
+        let late =
+            admission::LateRequest { since_ms: self.job.since_ms, until_ms: self.job.until_ms };
         loop {
-            if !self.wait(fastrand::u64(..admission::LOOK_MS)).await {
+            if !self.wait(fastrand::u64(..admission::MAX_RECHECK_DELAY_MS)).await {
                 return false;
             }
-            if late.is_sent(self.traffic.load_of(&self.job.service), self.traffic.now_ms()) {
+            if late.may_send(self.traffic.load_of(&self.job.service), self.traffic.now_ms()) {
                 return true;
             }
         }
@@ -366,10 +367,10 @@
         }
         let constraints = Constraints {
             need: self.need(),
-            not: self.left.clone(),
-            not_domains: self.lost_domains(),
+            excluded: self.left.clone(),
+            avoided_domains: self.lost_domains(),
             apart_from: None,
-            near: Some(Arc::clone(&self.traffic.settings.domain)),
+            preferred_domain: Some(Arc::clone(&self.traffic.settings.domain)),
         };
         let prompt = &self.job.demand.prompt_parts;
         let chosen = self.traffic.choose_for(&self.job.service, &constraints, prompt);
@@ -387,8 +388,8 @@
     }
 
     /// How long the route lets the stream be quiet.
-    fn patience(&self) -> Patience {
-        Patience::of(self.job.route.target_latency_ms, self.job.route.target_gap_ms)
+    fn patience(&self) -> SilenceTimeouts {
+        SilenceTimeouts::of(self.job.route.target_latency_ms, self.job.route.target_gap_ms)
     }
 
     /// The prompt's last part, which is the request's own.
--- a/src/gateway/traffic.rs
+++ b/src/gateway/traffic.rs
@@ -29,9 +29,9 @@
 use super::failure::Failure;
 use super::fleet::Fleet;
 use super::job::Job;
-use super::loads::{Held, Own, Sent};
+use super::loads::{LocalTraffic, SentRequests, UpstreamLoad};
 use super::metrics::Metrics;
-use super::policy::admission::Load;
+use super::policy::admission::EngineActivity;
 use super::policy::budget::Budget;
 use super::policy::departures::Departures;
 use super::policy::engine::{self, Need};
@@ -148,7 +148,7 @@
     /// Whether a request that was read is taken, also by an instance that stops.
     pub fn takes(&self, job: &Job) -> bool {
         let now_ms = self.now_ms();
-        self.stop.get().is_none_or(|stop| stop.takes(job.route.repeat, job.until_ms, now_ms))
+        self.stop.get().is_none_or(|stop| stop.accepts(job.route.repeat, job.until_ms, now_ms))
     }
 
     /// When the caller of a request should come back after a failure, where that follows from how
@@ -163,7 +163,7 @@
             Failure::NoUpstream => self.retry_after_ms(&job.service, left_ms),
             Failure::Quarantined { .. } | Failure::Poison { .. } => self.quarantine_left_ms(job),
             Failure::Full | Failure::TooManyRepeats if job.route.repeat.is_stream() => {
-                Some(outages::full_after_ms(left_ms, &mut fastrand::Rng::new()))
+                Some(outages::full_retry_after_ms(left_ms, &mut fastrand::Rng::new()))
             }
             _ => None,
         }
@@ -235,7 +235,7 @@
     pub fn hedge_after_ms(&self, job: &Job) -> Option<u64> {
         let mut latencies = self.latencies.borrow_mut();
         let known = latencies.entry(Arc::clone(&job.route.name)).or_default();
-        hedge::after_ms(known, job.route.target_latency_ms)
+        hedge::delay_ms(known, job.route.target_latency_ms)
     }
 
     /// Waits until a planned stop gives its last answers, which may be never.
@@ -257,7 +257,7 @@
         if is_fleet_new {
             self.follow(&view.fleet);
         }
-        if is_fleet_new || !view.departures.is_same(&self.departures.borrow()) {
+        if is_fleet_new || !view.departures.is_same_data(&self.departures.borrow()) {
             self.follow_departures(&view.departures);
         }
         view
@@ -404,17 +404,17 @@
 
     /// Notes what runs here and what was lost, for the next message.
     fn note_own(&self) {
-        let mut own = Own::default();
+        let mut own = LocalTraffic::default();
         let places = self.places.borrow();
         let placed = places.iter().flat_map(|(part, at)| at.iter().map(|at| (*part, at)));
-        own.places = placed.map(|(part, at)| (part, Arc::clone(&at.upstream))).collect();
+        own.cache_locations = placed.map(|(part, at)| (part, Arc::clone(&at.upstream))).collect();
         for (service, budget) in self.budgets.borrow().iter() {
-            let (requests, repeats) = budget.sums();
-            own.sent.push(Sent { service: Arc::clone(service), requests, repeats });
+            let (requests, repeats) = budget.counts();
+            own.sent.push(SentRequests { service: Arc::clone(service), requests, repeats });
         }
         own.lost = self.losses.borrow().own();
         for worker in self.workers.borrow().values() {
-            let held = Held {
+            let held = UpstreamLoad {
                 upstream: Arc::clone(&worker.upstream.id),
                 runs: worker.runs.get(),
                 copies: worker.copies.get(),
@@ -422,15 +422,15 @@
                 pending_tokens: worker.pending_tokens.get(),
                 reserved_tokens: worker.reserved_tokens.get(),
             };
-            if !held.is_nothing() {
-                own.held.push(held);
+            if !held.is_empty() {
+                own.loads.push(held);
             }
         }
         self.shared.set_own(own);
     }
 
     /// What the engines of a service are doing, as far as known.
-    pub fn load_of(&self, service: &str) -> Load {
+    pub fn load_of(&self, service: &str) -> EngineActivity {
         let workers = self.workers.borrow();
         let now_ms = self.now_ms();
         let takes = |worker: &&Rc<Worker>| {
@@ -440,7 +440,7 @@
         };
         let engines = || workers.values().filter(takes);
         let reading = engines().filter(|worker| self.reading_at(worker) > 0);
-        Load { engines: engines().count(), reading: reading.count() }
+        EngineActivity { engines: engines().count(), reading: reading.count() }
     }
 
     /// How many prompts an engine is reading, as far as known.
@@ -481,7 +481,7 @@
             id: Arc::clone(&worker.upstream.id),
             domain: Arc::clone(&worker.upstream.domain),
             load,
-            failing: worker.failing(now_ms),
+            failure_rate: worker.failing(now_ms),
             is_suspect: self.is_doubtful(worker, now_ms),
         }
     }
--- a/src/gateway/traffic/losses.rs
+++ b/src/gateway/traffic/losses.rs
@@ -13,8 +13,8 @@
 use super::super::channel::{self, Fault};
 use super::super::dialect::EngineState;
 use super::super::fleet::Upstream;
-use super::super::policy::losses::{Loss, Subject};
-use super::super::policy::silence::Sighting;
+use super::super::policy::losses::{Loss, QueriedUpstream};
+use super::super::policy::silence::RunStatus;
 use super::super::view::View;
 use super::super::worker::Worker;
 use super::Traffic;
@@ -53,13 +53,13 @@
     }
 
     /// What it says of a run.
-    pub fn sighting(&self, id: &str) -> Sighting {
-        let Life::Lives(state) = self else { return Sighting::Untold };
-        let Some(runs) = &state.runs else { return Sighting::Untold };
+    pub fn sighting(&self, id: &str) -> RunStatus {
+        let Life::Lives(state) = self else { return RunStatus::Untold };
+        let Some(runs) = &state.runs else { return RunStatus::Untold };
         match runs.iter().find(|run| *run.id == *id) {
-            Some(run) => Sighting::Listed { tokens: run.tokens, events: run.events },
-            None if state.unstarted() > 0 => Sighting::MayWait,
-            None => Sighting::Missing,
+            Some(run) => RunStatus::Listed { tokens: run.tokens, events: run.events },
+            None if state.unstarted() > 0 => RunStatus::MayWait,
+            None => RunStatus::Missing,
         }
     }
 }
@@ -227,10 +227,10 @@
     ) {
         let mut losses = self.losses.borrow_mut();
         let is_final = |id: &str| workers.get(id).is_some_and(|worker| worker.is_replaced());
-        losses.forget(now_ms, is_final);
+        losses.expire(now_ms, is_final);
         for id in view.lost.iter() {
             let Some(worker) = workers.get(id) else { continue };
-            losses.hear(id, loss_of(worker, now_ms, false));
+            losses.note_reported(id, loss_of(worker, now_ms, false));
         }
     }
 
@@ -269,7 +269,7 @@
     pub fn is_doubtful(&self, worker: &Worker, now_ms: u64) -> bool {
         let is_falling = || {
             Mechanism::Doubt.is_on()
-                && self.losses.borrow().is_domain_falling(subject(worker), now_ms)
+                && self.losses.borrow().has_correlated_losses(subject(worker), now_ms)
         };
         self.is_lost(worker, now_ms) || is_falling()
     }
@@ -280,8 +280,8 @@
     Loss { service: Arc::clone(service), domain: Arc::clone(domain), at_ms, is_own }
 }
 
-fn subject(worker: &Worker) -> Subject<'_> {
-    Subject {
+fn subject(worker: &Worker) -> QueriedUpstream<'_> {
+    QueriedUpstream {
         id: &worker.upstream.id,
         service: &worker.upstream.service,
         domain: &worker.upstream.domain,
--- a/tests/gateway/load.rs
+++ b/tests/gateway/load.rs
@@ -1,4 +1,5 @@
-//! A load of calls and streams over all instances of a test's site, and what its callers got.
+//! Sends a load of calls and streams to all instances of a test's site, and records what its
+//! callers received.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -7,23 +8,24 @@
 
 use crate::support::{Running, call};
 
-/// The pause between two calls: fourteen times as many as an upstream takes that names 6 a second.
-pub const CALL_EVERY: Duration = Duration::from_millis(12);
-/// The pause between two streams.
-pub const STREAM_EVERY: Duration = Duration::from_millis(30);
-/// How long a refusal may take: it is given at once.
-pub const AT_ONCE: Duration = Duration::from_millis(400);
+/// Interval between calls, which gives fourteen times as many as an upstream accepts that limits
+/// itself to 6 a second.
+pub const CALL_INTERVAL: Duration = Duration::from_millis(12);
+/// Interval between streams.
+pub const STREAM_INTERVAL: Duration = Duration::from_millis(30);
+/// Maximum duration of a refusal, which is sent at once.
+pub const MAX_REFUSAL_DURATION: Duration = Duration::from_millis(400);
 
-/// What a caller got.
-pub struct Got {
+/// What a caller received.
+pub struct Received {
     pub id: String,
     pub status: u16,
     pub retry_after_s: Option<f64>,
     pub took: Duration,
 }
 
-/// Sends one, and reads a stream to its end.
-pub async fn ask(front: SocketAddr, sent: Call) -> Got {
+/// Sends one request, and reads a stream to its end.
+pub async fn send(front: SocketAddr, sent: Call) -> Received {
     let since = Instant::now();
     let is_stream = sent.part.is_some();
     let answer = if is_stream {
@@ -33,23 +35,23 @@
     };
     let answer = answer.unwrap_or_default();
     let retry_after_s = answer.header("retry-after").and_then(|value| value.parse().ok());
-    Got { id: sent.id, status: answer.status(), retry_after_s, took: since.elapsed() }
+    Received { id: sent.id, status: answer.status(), retry_after_s, took: since.elapsed() }
 }
 
-/// Sends calls to all instances by chance until a time.
-pub async fn play(
+/// Sends calls to randomly chosen instances until a given time.
+pub async fn run_load(
     running: &Running,
-    every: Duration,
+    interval: Duration,
     next: impl Fn(u64) -> Call,
     until: Instant,
-) -> Vec<Got> {
+) -> Vec<Received> {
     let mut asked = tokio::task::JoinSet::new();
     let mut number = 0;
     while Instant::now() < until {
         let front = running.front(fastrand::usize(..running.gateways.len()));
-        asked.spawn(ask(front, next(number)));
+        asked.spawn(send(front, next(number)));
         number += 1;
-        tokio::time::sleep(every).await;
+        tokio::time::sleep(interval).await;
     }
     asked.join_all().await
 }
--- a/tests/gateway/silence.rs
+++ b/tests/gateway/silence.rs
@@ -1,5 +1,5 @@
-//! Requests that hear nothing from an upstream that lives, and upstreams that are no longer who the
-//! list says.
+//! Requests whose upstream is alive but silent, and upstreams that were replaced while still
+//! listed.
 
 use std::time::Instant;
 
@@ -11,10 +11,10 @@
 
 use crate::support::{self, call, plan, whole_text, working_engine};
 
-/// Streams were sent once and heard nothing until their callers left 18 s later, while their
-/// engine answered every question whether it lives.
+/// Guards against a stream that hangs because its engine has lost the run: the engine still reports
+/// that it is alive, so the stream was sent once and its caller left after 18 s without an event.
 #[tokio::test]
-async fn a_stream_whose_head_never_comes_is_read_elsewhere() {
+async fn a_stream_without_response_head_is_retried_at_another_engine() {
     let running = support::start(1).await;
     running.site.engines.iter().for_each(|engine| engine.read_for(200));
     let sent = plan();
@@ -26,11 +26,11 @@
     assert!(stream.is_complete);
     assert_eq!(stream.text, whole_text(&sent, 0));
     assert!(since.elapsed().as_secs() < 4, "{:?}", since.elapsed());
-    assert!(running.gateways[0].logged().contains("the engine lives and has no such run"));
+    assert!(running.gateways[0].logged().contains("the engine is alive but no longer has the run"));
 }
 
 #[tokio::test]
-async fn a_stream_that_falls_silent_goes_on_from_its_copy() {
+async fn a_silent_stream_resumes_from_its_copy() {
     let running = support::start(1).await;
     let sent = plan();
     let reading = running.read_stream(&sent);
@@ -42,9 +42,9 @@
     assert_eq!(stream.text, whole_text(&sent, 0));
 }
 
-/// The run is resumed at an engine that loses it as well, before it has made an event there.
+/// The engine that the run is resumed at loses it as well, before it has produced an event.
 #[tokio::test]
-async fn a_stream_that_is_resumed_and_hears_nothing_goes_on() {
+async fn a_stream_that_is_silent_after_resuming_resumes_again() {
     let running = support::start_site(Site::start(2, 40).await, 1).await;
     let sent = plan();
     let reading = running.read_stream(&sent);
@@ -62,16 +62,16 @@
     assert!(engines[second].seen().iter().any(|seen| seen.from_copy));
 }
 
-/// A run that is put out of memory waits behind the prompts of others and reads its own again, for
-/// seconds; its copy holds all of it, and the pause that its caller allows is 700 ms.
+/// A preempted run waits behind other prompts and reads its own again, which takes seconds, while
+/// its caller allows a pause of 700 ms. The run must resume from its copy, which is complete.
 #[tokio::test]
-async fn a_stream_that_is_put_out_of_memory_goes_on_in_time() {
+async fn a_preempted_stream_resumes_in_time() {
     let running = support::start_site(Site::start(2, 60).await, 1).await;
     let sent = plan();
     let reading = running.read_stream(&sent);
     let first = working_engine(&running).await;
     let engine = &running.site.engines[first];
-    wait_for("it has made events for a while", async || engine.made() >= 11).await;
+    wait_for("the engine has produced 11 events", async || engine.made() >= 11).await;
     engine.fail(Fault::PutsOut);
     let stream = reading.await.unwrap().unwrap();
     assert!(stream.is_complete);
@@ -79,14 +79,15 @@
     let logged = running.gateways[0].logged();
     assert!(logged.contains("engine put the run out of memory"));
     let pause = logged.split("\"pause_ms\":").nth(1).and_then(|rest| rest.split([',', '}']).next());
-    let pause_ms: u64 = pause.and_then(|pause| pause.parse().ok()).expect("the run went on");
+    let pause_ms: u64 = pause.and_then(|pause| pause.parse().ok()).expect("the run resumed");
     assert!(pause_ms < 600, "{pause_ms}");
 }
 
-/// On a day on which most engines were leaving, runs left full engines that lived, whose state took
-/// longer than 130 ms, for others that were as full, and were cut.
+/// Guards against runs that leave a live engine because its state takes longer than 130 ms to
+/// arrive. While most engines were leaving, such runs went to engines that were as full, and their
+/// answers were truncated.
 #[tokio::test]
-async fn a_run_without_a_copy_stays_with_an_engine_that_is_late_with_its_state() {
+async fn a_run_without_a_copy_stays_when_the_engine_state_is_late() {
     let site = Site::start(1, 450).await;
     (1..site.engines.len()).for_each(|index| site.list_engine(index, "draining"));
     site.engines[0].fail(Fault::Late);
@@ -95,14 +96,15 @@
     let stream = running.read_stream(&sent).await.unwrap().unwrap();
     assert!(stream.is_complete);
     assert_eq!(stream.text, whole_text(&sent, 0));
-    assert_eq!(running.site.engines[0].seen().len(), 1, "it was never sent anew");
+    assert_eq!(running.site.engines[0].seen().len(), 1, "sent only once");
     assert!(running.gateways[0].logged().contains("engine asked once more whether it lives"));
 }
 
-/// The engine of an answer is lost, and all others are full for a moment: asked without a pause, four
-/// refused within 80 ms, and the answer was cut although its caller had twenty seconds left.
+/// Guards against truncated answers when the engine of an answer is lost and all others are full
+/// for a moment. Without a delay between attempts, four engines refused within 80 ms, and the
+/// answer was truncated although its caller had twenty seconds left.
 #[tokio::test]
-async fn an_answer_that_began_waits_for_room_elsewhere() {
+async fn a_started_answer_waits_for_capacity_elsewhere() {
     let running = support::start_site(Site::start(3, 60).await, 1).await;
     let sent = plan();
     let reading = running.read_stream(&sent);
@@ -112,7 +114,7 @@
     let others = || engines.iter().enumerate().filter(|(index, _)| *index != first);
     others().for_each(|(_, engine)| engine.fail(Fault::Full));
     engines[first].fail(Fault::Torn);
-    wait_for("several have refused", async || {
+    wait_for("the other engines have refused five attempts", async || {
         others().map(|(_, engine)| engine.seen().len()).sum::<usize>() >= 5
     })
     .await;
@@ -122,10 +124,11 @@
     assert_eq!(stream.text, whole_text(&sent, 0));
 }
 
-/// What every engine refused is refused at once, with a time at which requests that run now have
-/// ended: callers come back once, and asked again and again the same engines refused as often.
+/// A request that every engine refused is refused at once, with a retry time by which some of the
+/// running requests have ended. Callers retry only once, and asking the same engines again and
+/// again leads to the same refusals.
 #[tokio::test]
-async fn what_every_engine_refuses_is_refused_at_once() {
+async fn a_request_that_every_engine_refused_is_refused_at_once() {
     let running = support::start(1).await;
     running.site.engines.iter().for_each(|engine| engine.fail(Fault::Full));
     let since = Instant::now();
@@ -135,13 +138,16 @@
     let after_s: f64 = answer.header("retry-after").unwrap().parse().unwrap();
     assert!((3.0..=6.7).contains(&after_s), "{after_s} s of 20 s");
     let engines = &running.site.engines;
-    assert!(engines.iter().all(|engine| engine.seen().len() <= 1), "each is asked once");
+    assert!(
+        engines.iter().all(|engine| engine.seen().len() <= 1),
+        "each engine is tried at most once"
+    );
 }
 
-/// The engine lives and works on the request as far as it tells, and no event ever comes: its
-/// caller is served elsewhere, late, and not left waiting until its time is over.
+/// Guards against a stream that waits until its timeout at an engine that is alive and reports the
+/// run but never sends an event: it must be served elsewhere, even if late.
 #[tokio::test]
-async fn a_stream_whose_first_event_is_overdue_is_read_elsewhere() {
+async fn a_stream_with_overdue_first_event_is_retried_at_another_engine() {
     let running = support::start(1).await;
     running.site.engines.iter().for_each(|engine| engine.read_for(200));
     let sent = plan();
@@ -154,11 +160,11 @@
     assert!(running.gateways[0].logged().contains("its first event is overdue"));
 }
 
-/// All engines stand still for a while, and more runs want to leave theirs than the budget of
-/// repeats allows. Who can't go on elsewhere stays: leaving first and asking for the repeat then cut
-/// answers whose engines lived.
+/// All engines stop producing events for a while, and more runs want to leave their engines than
+/// the budget of repeats allows. A run without a repeat must stay: when runs left before they asked
+/// for the repeat, answers were truncated although their engines were alive.
 #[tokio::test]
-async fn a_living_engine_is_left_only_with_a_repeat_in_hand() {
+async fn a_run_leaves_a_live_engine_only_if_the_budget_allows_a_repeat() {
     const STREAMS: usize = 30;
     // 0.75 of 0.8 for each stream.
     const MOVES: usize = 18;
@@ -170,10 +176,10 @@
     let sent: Vec<_> = (0..STREAMS).map(|_| plan()).collect();
     let reading: Vec<_> = sent.iter().map(|sent| running.read_stream(sent)).collect();
     let engines = &running.site.engines;
-    wait_for("all are worked on", async || {
+    wait_for("all streams are running", async || {
         let working: usize = engines.iter().map(|engine| engine.working()).sum();
-        let has_begun = |engine: &EngineFake| engine.working() == 0 || engine.made() >= 3;
-        working == STREAMS && engines.iter().all(has_begun)
+        let has_produced_events = |engine: &EngineFake| engine.working() == 0 || engine.made() >= 3;
+        working == STREAMS && engines.iter().all(has_produced_events)
     })
     .await;
     engines.iter().for_each(|engine| engine.fail(Fault::Stuck));
@@ -185,14 +191,15 @@
     engines.iter().for_each(|engine| engine.fail(Fault::None));
     for (sent, reading) in sent.iter().zip(reading) {
         let stream = reading.await.unwrap().unwrap();
-        assert!(stream.is_complete, "{} was cut", sent.id);
+        assert!(stream.is_complete, "{} was truncated", sent.id);
         assert_eq!(stream.text, whole_text(sent, 0));
     }
 }
 
-/// Look-ups were refused with 504 after the route's 1,200 ms, with two other upstreams unasked.
+/// Guards against a call that waits for a silent upstream until the route's timeout of 1,200 ms and
+/// fails with 504, while two other upstreams have not been tried.
 #[tokio::test]
-async fn a_silent_look_up_is_sent_to_a_second_upstream_in_time() {
+async fn a_silent_look_up_is_hedged_in_time() {
     let running = support::start(1).await;
     running.site.services[0].fail(service::Fault::Mute);
     for _ in 0..12 {
@@ -201,13 +208,14 @@
         let answer = caller::send(running.front(0), &sent).await.unwrap();
         assert_eq!(answer.status(), 200);
         assert!(since.elapsed().as_millis() < 700, "{:?}", since.elapsed());
-        assert!(running.runs_of(&sent.id) <= 2, "the route allows two attempts");
+        assert!(running.runs_of(&sent.id) <= 2, "more than the two attempts that the route allows");
     }
 }
 
-/// Of two attempts one was refused late and the other one broke off: "not run" must hold for both.
+/// One of two attempts was refused late and the other one lost its connection: the answer may say
+/// "not run" only if it holds for both.
 #[tokio::test]
-async fn a_look_up_of_which_one_attempt_may_have_run_is_not_told_that_it_has_not() {
+async fn a_look_up_is_not_reported_as_not_run_if_one_attempt_may_have_run() {
     let running = support::start(1).await;
     let (late, others) = running.site.services.split_first().unwrap();
     late.fail(service::Fault::LateFull);
@@ -217,13 +225,13 @@
         let sent = call("GET", "/look/seat");
         let answer = caller::send(running.front(0), &sent).await.unwrap();
         let has_run = running.runs_of(&sent.id) > 0;
-        assert!(!has_run || answer.status() != 503, "told that it has not run");
+        assert!(!has_run || answer.status() != 503, "503 although an attempt has run");
     }
     assert!(running.gateways[0].logged().contains("sent to a second upstream"));
 }
 
-/// A silent call that may not be repeated is sent once, and its caller hears at the route's bound
-/// that the outcome is unknown.
+/// A silent call that must not be repeated is sent once, and at the route's timeout its caller is
+/// told that the outcome is unknown.
 #[tokio::test]
 async fn a_silent_booking_is_sent_once_and_its_outcome_is_unknown() {
     let running = support::start(1).await;
@@ -236,10 +244,11 @@
     assert_eq!(running.runs_of(&sent.id), 1);
 }
 
-/// After an outage of the store the list named engines that had been replaced, and streams were
-/// refused as if the others were full: five answers 421 used up the route's five attempts.
+/// Guards against streams refused as if all engines were full: after an outage of the store the
+/// list named engines that had been replaced, and five answers 421 used up the route's five
+/// attempts.
 #[tokio::test]
-async fn answers_of_replaced_engines_use_up_no_attempt() {
+async fn answers_of_replaced_engines_do_not_count_as_attempts() {
     let running = support::start(1).await;
     let engines = &running.site.engines;
     let (last, others) = engines.split_last().unwrap();
@@ -254,9 +263,9 @@
     assert_eq!(last.seen().iter().filter(|seen| seen.ran).count(), 4);
 }
 
-/// An engine's old entry stays for some heartbeats beside that of its next incarnation.
+/// The old entry of an engine stays for some heartbeats beside that of its next incarnation.
 #[tokio::test]
-async fn nothing_is_sent_to_an_entry_that_a_younger_one_followed() {
+async fn nothing_is_sent_to_a_superseded_entry() {
     let running = support::start(1).await;
     let engine = &running.site.engines[0];
     let next = format!("{}-again", engine.id);
@@ -276,36 +285,38 @@
     assert_eq!(refused(), before);
 }
 
-/// A process that starts again under its id holds nothing of before: who waits for it leaves.
+/// A process that restarts under its id has none of its previous runs, so a run that waits for it
+/// must leave.
 #[tokio::test]
-async fn a_run_leaves_an_engine_that_was_born_again_under_its_id() {
+async fn a_run_leaves_an_engine_that_restarted_under_its_id() {
     let site = Site::start(2, 15).await;
     for index in 0..site.engines.len() {
-        list_born(&site, index, 1_000);
+        list_with_start_time(&site, index, 1_000);
     }
     let running = support::start_site(site, 1).await;
     running.site.engines.iter().for_each(|engine| engine.read_for(1_500));
     let sent = plan();
     let reading = running.read_stream(&sent);
     let first = working_engine(&running).await;
-    list_born(&running.site, first, 2_000);
+    list_with_start_time(&running.site, first, 2_000);
     let stream = reading.await.unwrap().unwrap();
     assert!(stream.is_complete);
     assert_eq!(stream.text, whole_text(&sent, 0));
     assert!(running.gateways[0].logged().contains("upstream born again"));
 }
 
-fn list_born(site: &Site, index: usize, born: u64) {
+fn list_with_start_time(site: &Site, index: usize, started_ms: u64) {
     let engine = &site.engines[index];
     let zone = site.engine_zone(index);
     let mut entry = server_entry("plan-llm", zone, "ready", engine.addr);
-    entry["born"] = born.into();
+    entry["born"] = started_ms.into();
     site.store.put(&format!("servers/{}", engine.id), &entry);
 }
 
-/// What another writer put under a key names no upstream to use; the others hold.
+/// An entry written by something else under an upstream's key names no usable upstream; other
+/// entries stay valid.
 #[tokio::test]
-async fn a_foreign_entry_takes_only_its_own_upstream_out() {
+async fn an_unusable_entry_removes_only_its_own_upstream() {
     let running = support::start(1).await;
     let store = &running.site.store;
     let service = &running.site.services[0];
@@ -313,9 +324,9 @@
     entry["state"] = "asleep".into();
     store.put(&format!("servers/{}", service.id), &entry);
     store.put("servers/nobody", &serde_json::json!({"address": 7, "backend": ["x"]}));
-    wait_for("both are refused", async || {
+    wait_for("both entries are rejected", async || {
         let logged = running.gateways[0].logged();
-        logged.matches("entry names no upstream to use").count() >= 2
+        logged.matches("ignoring an unusable upstream entry").count() >= 2
     })
     .await;
     let before = service.seen().len();
@@ -326,15 +337,18 @@
     assert_eq!(service.seen().len(), before);
 }
 
-/// Callers whose connections broke when all instances ended came back with their last try, and
-/// were refused by instances that had no configuration for another second.
+/// Guards against requests refused by an instance that has just started: callers whose connections
+/// broke when all instances ended returned with their last retry, up to a second before there was a
+/// configuration.
 #[tokio::test]
-async fn a_starting_instance_keeps_a_request_until_it_has_a_configuration() {
+async fn a_starting_instance_holds_a_request_until_it_has_a_configuration() {
     let mut running = support::start_site(Site::start(2, 15).await, 0).await;
     running.site.store.fail(siskinrock_fakes::store::Fault::Busy);
     running.add(0);
-    wait_for("it listens", async || tokio::net::TcpStream::connect(running.front(0)).await.is_ok())
-        .await;
+    wait_for("the instance listens", async || {
+        tokio::net::TcpStream::connect(running.front(0)).await.is_ok()
+    })
+    .await;
     let sent = plan();
     let reading = running.read_stream(&sent);
     tokio::time::sleep(std::time::Duration::from_millis(200)).await;
@@ -344,15 +358,18 @@
     assert_eq!(stream.text, whole_text(&sent, 0));
 }
 
-/// Without a configuration in time, the refusal is true and names a time that the caller honours.
+/// If no configuration arrives in time, the request is refused, with a retry time that the caller
+/// accepts.
 #[tokio::test]
-async fn a_starting_instance_refuses_what_it_kept_in_vain() {
+async fn a_starting_instance_refuses_a_held_request_without_a_configuration() {
     let mut running = support::start_site(Site::start(1, 15).await, 0).await;
     running.site.store.fail(siskinrock_fakes::store::Fault::Busy);
     running.add(0);
-    wait_for("it listens", async || tokio::net::TcpStream::connect(running.front(0)).await.is_ok())
-        .await;
-    wait_for("it misses the store", async || {
+    wait_for("the instance listens", async || {
+        tokio::net::TcpStream::connect(running.front(0)).await.is_ok()
+    })
+    .await;
+    wait_for("the instance has lost the store", async || {
         running.gateways[0].logged().contains("directory lost")
     })
     .await;
