--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -1,4 +1,5 @@
-//! A call whose answer comes whole: one attempt after the other, within its bounds.
+//! Serves calls, whose answers are buffered whole and not streamed: attempts at one upstream after
+//! another, with hedging, until the deadline and the limits on attempts.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -21,40 +22,42 @@
 use super::traffic::Traffic;
 use super::worker::{Lease, What, Worker};
 
-/// The longest answer that is held in memory until it is whole.
-const LONGEST_ANSWER_BYTES: usize = 8 << 20;
-/// How often a call looks for another upstream when no byte could be sent: a whole failure domain
-/// of a service may refuse.
-const UNSENT_TRIES: u32 = 6;
+/// The maximum size of an answer, which is held in memory until it is whole.
+const MAX_ANSWER_BYTES: usize = 8 << 20;
+/// How many attempts may fail before a byte was sent: all upstreams of a service in one failure
+/// domain may refuse connections.
+const MAX_UNSENT_ATTEMPTS: u32 = 6;
 
 /// How one attempt ended.
 #[derive(Debug)]
 enum Outcome {
     /// The upstream's whole answer.
-    Answered(Whole),
-    /// It certainly did not run.
-    NotRun { answered: Option<Whole>, was_sent: bool },
-    /// It was not sent, since the upstream limits what it gets.
+    Answered(WholeAnswer),
+    /// The request has not run.
+    NotRun { answered: Option<WholeAnswer>, was_sent: bool },
+    /// The request was not sent, because the upstream is throttled.
     Throttled,
-    /// Another upstream has the address, so it did not run; that says nothing of its service.
+    /// Another upstream answered at the address, so the request has not run. Unlike `NotRun`, this
+    /// doesn't mean that the service is full.
     Replaced,
-    /// It may have run.
+    /// The request may have run.
     Unknown { detail: String },
-    /// The time was over.
+    /// The deadline passed.
     TimeOver,
-    /// The budget of repeats of all instances is used up.
+    /// The retry budget of all instances together is used up.
     OverBudget,
 }
 
 impl Outcome {
-    /// Whether it is an answer that a caller can use.
+    /// Whether it is an answer other than a server error.
     fn is_good(&self) -> bool {
         matches!(self, Outcome::Answered(whole) if whole.status < 500)
     }
 
-    /// Which of two attempts speaks for their request: a good answer, then any, then one that may
-    /// have run, since "not run" must hold for both.
-    fn weight(&self) -> u8 {
+    /// Ranks the outcomes of two attempts at one request; the higher one is its outcome. A good answer
+    /// comes first, then any other answer, then an attempt that may have run, since a request has "not
+    /// run" only if neither attempt ran.
+    fn precedence(&self) -> u8 {
         match self {
             Outcome::Answered(_) if self.is_good() => 3,
             Outcome::Answered(_) => 2,
@@ -69,49 +72,51 @@
 
 /// A whole answer of an upstream.
 #[derive(Debug)]
-struct Whole {
+struct WholeAnswer {
     status: u16,
     headers: HeaderMap,
     body: Bytes,
 }
 
-/// Serves a call that isn't a stream.
+/// Serves a request whose answer isn't a stream.
 pub async fn serve(traffic: &Rc<Traffic>, job: &Job) -> Answer {
     let mut constraints = Constraints {
         preferred_domain: Some(Arc::clone(&traffic.settings.domain)),
         ..Constraints::default()
     };
-    // Attempts that count against the route's bound, and all that reached an upstream.
+    // `sent` counts the attempts against the route's limit, `reached_upstream` all attempts that
+    // reached an upstream, and `unsent_attempts` those of which no byte was sent.
     let mut sent = 0;
-    let mut arrived = 0;
-    let mut unsent = 0;
-    let mut last = Failure::NoUpstream;
+    let mut reached_upstream = 0;
+    let mut unsent_attempts = 0;
+    let mut last_failure = Failure::NoUpstream;
     let mut may_have_run = false;
     loop {
         if traffic.now_ms() >= job.until_ms {
-            let failure = if arrived == 0 { Failure::TimeOverUnsent } else { last };
+            let failure =
+                if reached_upstream == 0 { Failure::TimeOverUnsent } else { last_failure };
             return finish(job, traffic, failure, may_have_run);
         }
         let Some(worker) = traffic.choose(&job.service, &constraints) else {
-            return finish(job, traffic, last, may_have_run);
+            return finish(job, traffic, last_failure, may_have_run);
         };
         constraints.excluded.push(Arc::clone(&worker.upstream.id));
         let can_hedge = Mechanism::Hedge.is_on()
             && job.route.repeat == Repeat::Idempotent
             && sent + 1 < job.route.max_attempts;
         let (worker, outcome) = if can_hedge {
-            let (worker, outcome, sent_besides) =
-                hedged(traffic, job, &worker, arrived == 0, &mut constraints).await;
-            sent += sent_besides;
+            let (worker, outcome, extra_attempts) =
+                hedged(traffic, job, &worker, reached_upstream == 0, &mut constraints).await;
+            sent += extra_attempts;
             (worker, outcome)
         } else {
-            let outcome = attempt(traffic, job, &worker, arrived == 0).await;
+            let outcome = attempt(traffic, job, &worker, reached_upstream == 0).await;
             (worker, outcome)
         };
         match outcome {
             Outcome::OverBudget => {
                 traffic.metrics.count("repeats_over_budget");
-                return finish(job, traffic, last, may_have_run);
+                return finish(job, traffic, last_failure, may_have_run);
             }
             Outcome::Answered(whole) => {
                 sent += 1;
@@ -120,38 +125,49 @@
                     && Mechanism::SecondOpinion.is_on()
                     && job.route.repeat == Repeat::Idempotent;
                 if may_repeat && sent < job.route.max_attempts {
-                    log_attempt(traffic, job, &worker, "answered with an error; tried elsewhere");
-                    if let Some((better, by)) = second_opinion(traffic, job, &mut constraints).await
+                    log_failed_attempt(
+                        traffic,
+                        job,
+                        &worker,
+                        "answered with an error; trying another upstream",
+                    );
+                    if let Some((better_answer, answered_by)) =
+                        second_opinion(traffic, job, &mut constraints).await
                     {
-                        return deliver(traffic, job, &by, better);
+                        return deliver(traffic, job, &answered_by, better_answer);
                     }
                 }
                 return deliver(traffic, job, &worker, whole);
             }
             Outcome::NotRun { answered, was_sent } => {
                 if was_sent {
-                    arrived += 1;
+                    reached_upstream += 1;
                     sent += 1;
-                    last = Failure::Full;
+                    last_failure = Failure::Full;
                 } else {
-                    unsent += 1;
+                    unsent_attempts += 1;
                 }
-                log_attempt(traffic, job, &worker, "did not run");
-                // What was refused for good isn't worth another try.
+                log_failed_attempt(traffic, job, &worker, "did not run");
+                // With status 400 every other upstream would refuse it too.
                 if let Some(whole) = answered.filter(|whole| whole.status == 400) {
                     return deliver(traffic, job, &worker, whole);
                 }
-                if sent >= job.route.max_attempts || unsent >= UNSENT_TRIES {
-                    return finish(job, traffic, last, may_have_run);
+                if sent >= job.route.max_attempts || unsent_attempts >= MAX_UNSENT_ATTEMPTS {
+                    return finish(job, traffic, last_failure, may_have_run);
                 }
             }
-            Outcome::Throttled => log_attempt(traffic, job, &worker, "throttled"),
+            Outcome::Throttled => log_failed_attempt(traffic, job, &worker, "throttled"),
             Outcome::Replaced => {
-                arrived += 1;
-                log_attempt(traffic, job, &worker, "another upstream has its address");
+                reached_upstream += 1;
+                log_failed_attempt(
+                    traffic,
+                    job,
+                    &worker,
+                    "another upstream answered at its address",
+                );
             }
             Outcome::Unknown { detail } => {
-                arrived += 1;
+                reached_upstream += 1;
                 sent += 1;
                 slog::warn!(traffic.log, "outcome unknown"; "request" => job.id(),
                     "upstream" => &*worker.upstream.id, "detail" => detail,
@@ -159,7 +175,7 @@
                 may_have_run = true;
                 let may_repeat = job.route.repeat == Repeat::Idempotent;
                 if !may_repeat || sent >= job.route.max_attempts {
-                    return finish(job, traffic, last, may_have_run);
+                    return finish(job, traffic, last_failure, may_have_run);
                 }
             }
             Outcome::TimeOver => return finish(job, traffic, Failure::TimeOver, false),
@@ -167,11 +183,11 @@
     }
 }
 
-/// An attempt that gets a second one beside it, at another upstream and failure domain, if it is
-/// silent for longer than nearly all are. The first good answer counts; the other attempt is
-/// dropped, which ends its upstream's work.
+/// Makes an attempt, and hedges it with a second one, if possible in another failure domain, if it
+/// takes longer than nearly all attempts at its route. The first good answer is used; the other
+/// attempt is dropped, which closes its connection and so ends the upstream's work.
 ///
-/// Returns whose outcome it is, and how many attempts were made besides.
+/// Returns the upstream and the outcome of the attempt that counts, and the number of further attempts.
 async fn hedged(
     traffic: &Rc<Traffic>,
     job: &Job,
@@ -190,13 +206,13 @@
     };
     let other = match outcome {
         Some(outcome) => return (Rc::clone(worker), outcome, 0),
-        None => second_upstream(traffic, job, worker, constraints),
+        None => choose_hedge_upstream(traffic, job, worker, constraints),
     };
     let Some(other) = other else {
         let outcome = first.await;
         return (Rc::clone(worker), outcome, 0);
     };
-    slog::info!(traffic.log, "silent; sent to a second upstream"; "request" => job.id(),
+    slog::info!(traffic.log, "no answer yet; sent to a second upstream"; "request" => job.id(),
         "upstream" => &*worker.upstream.id, "second" => &*other.upstream.id,
         "after_ms" => after_ms, "objective_ms" => job.route.target_latency_ms);
     traffic.metrics.count("calls_hedged");
@@ -215,16 +231,16 @@
             (first.await, outcome)
         }
     };
-    if second.weight() > first.weight() {
+    if second.precedence() > first.precedence() {
         (Rc::clone(&other), second, 1)
     } else {
         (Rc::clone(worker), first, 1)
     }
 }
 
-/// Another upstream for a second attempt, rather in another failure domain; none if the budget of
-/// repeats allows none, or only upstreams in doubt are left.
-fn second_upstream(
+/// Chooses an upstream for a hedge, in another failure domain if possible. Returns none if the retry
+/// budget is used up, no other upstream is left, or the best one is suspected to be down.
+fn choose_hedge_upstream(
     traffic: &Rc<Traffic>,
     job: &Job,
     worker: &Worker,
@@ -233,11 +249,11 @@
     if !traffic.has_repeat(&job.service) {
         return None;
     }
-    let apart = Constraints {
+    let other_domain = Constraints {
         avoided_domains: vec![Arc::clone(&worker.upstream.domain)],
         ..constraints.clone()
     };
-    let other = traffic.choose(&job.service, &apart)?;
+    let other = traffic.choose(&job.service, &other_domain)?;
     if traffic.is_doubtful(&other, traffic.now_ms()) {
         return None;
     }
@@ -245,12 +261,13 @@
     Some(other)
 }
 
-/// One more attempt after an upstream's own error, whose answer counts only if it is better.
+/// Makes one more attempt after an upstream answered with a server error. Its answer is used only if
+/// it isn't a server error too.
 async fn second_opinion(
     traffic: &Rc<Traffic>,
     job: &Job,
     constraints: &mut Constraints,
-) -> Option<(Whole, Rc<Worker>)> {
+) -> Option<(WholeAnswer, Rc<Worker>)> {
     loop {
         let worker = traffic.choose(&job.service, constraints)?;
         constraints.excluded.push(Arc::clone(&worker.upstream.id));
@@ -269,8 +286,8 @@
     if !traffic.admits(worker).await {
         return Outcome::Throttled;
     }
-    let most = traffic.channel_share(&job.service);
-    let mut lease = match worker.lease(most, traffic.now_ms()).await {
+    let max_channels = traffic.channel_share(&job.service);
+    let mut lease = match worker.lease(max_channels, traffic.now_ms()).await {
         Ok(lease) => lease,
         Err(fault) => {
             worker.ended(true, traffic.now_ms());
@@ -285,7 +302,7 @@
     if left_ms == 0 || !traffic.takes_work(&worker.upstream.id) {
         return unsent();
     }
-    // Only what is really sent again draws on the budget.
+    // The retry budget is charged only for requests that are really sent again.
     if !is_first && !traffic.may_repeat(&job.service) {
         worker.give_back(lease, None, now_ms);
         return Outcome::OverBudget;
@@ -299,16 +316,16 @@
         ..Dispatch::default()
     };
     let request = job.request(&*traffic.dialect, &dispatch);
-    let timing = Timing { traffic, job, since_ms: now_ms };
+    let latency_recorder = LatencyRecorder { traffic, job, since_ms: now_ms };
     let result = tokio::select! {
         result = exchange(traffic, &mut lease, request) => Some(result),
         () = traffic.clock.sleep_until(job.until_ms) => None,
     };
     let Some(result) = result else {
         worker.ended(true, traffic.now_ms());
-        return if lease.channel.written() == 0 { unsent() } else { Outcome::TimeOver };
+        return if lease.channel.bytes_written() == 0 { unsent() } else { Outcome::TimeOver };
     };
-    drop(timing);
+    drop(latency_recorder);
     let may_have_run = match &result {
         Ok((whole, marks)) => !marks.not_run && whole.status != 421,
         Err(fault) => matches!(fault, Fault::Broken { .. }),
@@ -317,18 +334,18 @@
         traffic.note_begun(job, now_ms);
     }
     job.record_time(&traffic.metrics, Time::Upstream, traffic.now_ms() - now_ms);
-    judge(traffic, job, worker, lease, result)
+    classify(traffic, job, worker, lease, result)
 }
 
-/// Notes how long an attempt took when it ends, also when it is dropped: what never answers must
-/// not make its route look quick.
-struct Timing<'a> {
+/// Records the duration of an attempt when it ends, also if it is dropped: otherwise attempts that
+/// never get an answer would be missing, and the route's latency would be underestimated.
+struct LatencyRecorder<'a> {
     traffic: &'a Traffic,
     job: &'a Job,
     since_ms: u64,
 }
 
-impl Drop for Timing<'_> {
+impl Drop for LatencyRecorder<'_> {
     fn drop(&mut self) {
         if self.job.route.repeat == Repeat::Idempotent {
             self.traffic.note_latency(self.job, self.traffic.now_ms() - self.since_ms);
@@ -340,28 +357,28 @@
     Outcome::NotRun { answered: None, was_sent: false }
 }
 
-type Exchanged = Result<(Whole, Marks), Fault>;
+type ExchangeResult = Result<(WholeAnswer, Marks), Fault>;
 
 async fn exchange(
     traffic: &Traffic,
     lease: &mut Lease,
     request: Request<Full<Bytes>>,
-) -> Exchanged {
+) -> ExchangeResult {
     let response = lease.channel.send(request).await?;
     let (head, body) = response.into_parts();
     let marks = traffic.dialect.marks(&head.headers);
-    let body = Limited::new(body, LONGEST_ANSWER_BYTES).collect().await;
+    let body = Limited::new(body, MAX_ANSWER_BYTES).collect().await;
     let body = body.map_err(|error| Fault::Broken { detail: error.to_string() })?.to_bytes();
-    Ok((Whole { status: head.status.as_u16(), headers: head.headers, body }, marks))
+    Ok((WholeAnswer { status: head.status.as_u16(), headers: head.headers, body }, marks))
 }
 
-/// Says what an exchange means, and keeps the channel if it is clean.
-fn judge(
+/// Derives the outcome of an attempt, and gives its channel back if the channel can be reused.
+fn classify(
     traffic: &Rc<Traffic>,
     job: &Job,
     worker: &Rc<Worker>,
     lease: Lease,
-    result: Exchanged,
+    result: ExchangeResult,
 ) -> Outcome {
     let now_ms = traffic.now_ms();
     let (whole, marks) = match result {
@@ -386,7 +403,7 @@
     }
     traffic.note_signals(worker, whole.status, &marks);
     let is_success = (200..300).contains(&whole.status);
-    // After an early refusal the upstream may still expect the rest of the body.
+    // After a refusal that came early, the upstream may still expect the rest of the body.
     if is_success || job.body.is_empty() {
         worker.give_back(lease, marks.keep_ms, now_ms);
     }
@@ -403,14 +420,17 @@
         return Outcome::Unknown { detail: "the answer is not signed".to_owned() };
     }
     worker.ended(whole.status >= 500, now_ms);
-    // These statuses promise that nothing ran, which only the upstream's own mark can tell.
+    // These statuses promise a caller that nothing ran, so they are passed on only if the upstream's
+    // answer has the header that says so.
     if matches!(whole.status, 408 | 429 | 503) {
-        return Outcome::Unknown { detail: format!("status {} without a mark", whole.status) };
+        return Outcome::Unknown {
+            detail: format!("status {} without the not-run header", whole.status),
+        };
     }
     Outcome::Answered(whole)
 }
 
-fn deliver(traffic: &Traffic, job: &Job, worker: &Worker, whole: Whole) -> Answer {
+fn deliver(traffic: &Traffic, job: &Job, worker: &Worker, whole: WholeAnswer) -> Answer {
     let now_ms = traffic.now_ms();
     job.record(&traffic.metrics, now_ms - job.since_ms, None);
     if whole.status < 500 {
@@ -423,7 +443,8 @@
     answer::whole(whole.status, headers, whole.body)
 }
 
-/// A refusal that promises 'not run' is kept from a request that may have run earlier.
+/// Refuses a request for the last failure, or with `Failure::Unknown` if an earlier attempt may have
+/// run, since most failures promise that it has not.
 fn finish(job: &Job, traffic: &Traffic, failure: Failure, may_have_run: bool) -> Answer {
     let failure = match failure {
         _ if may_have_run => Failure::Unknown,
@@ -434,7 +455,7 @@
     traffic.refuse(job, &failure, retry_after_ms)
 }
 
-fn log_attempt(traffic: &Traffic, job: &Job, worker: &Worker, what: &'static str) {
+fn log_failed_attempt(traffic: &Traffic, job: &Job, worker: &Worker, what: &'static str) {
     slog::info!(traffic.log, "attempt failed"; "request" => job.id(),
         "upstream" => &*worker.upstream.id, "what" => what);
 }
--- a/src/gateway/connection.rs
+++ b/src/gateway/connection.rs
@@ -1,4 +1,4 @@
-//! A caller's connection: its requests one after the other, and when it closes.
+//! Accepts callers' connections, serves the requests on each in turn, and closes them.
 
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -14,25 +14,25 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-use super::caller::{self, Progress, Stage, Watched};
+use super::caller::{self, ObservedStream, Progress, Stage};
 use super::failure::Failure;
 use super::front;
-use super::open::{ConnectionGuard, Delivery, OpenGuard};
+use super::open::{ConnectionGuard, DeliveredBody, OpenRequestGuard};
 use super::route::Limits;
 use super::traffic::Traffic;
 
-/// The least buffer that hyper accepts for a head.
-pub(super) const LEAST_BUFFER_BYTES: usize = 8 << 10;
-/// The pause after a failed accept: connections that end meanwhile free descriptors.
-const ACCEPT_AGAIN_MS: u64 = 20;
-/// How often a connection that has to close looks whether its request has come or ended; 300
-/// connections that looked cost 8 % of a core.
-const CLOSE_LOOK_MS: u64 = 10;
-/// How long a new connection may be without a request before a planned stop closes it: its caller
-/// opened it to send one, which is a round trip away.
-const NEW_CONNECTION_MS: u64 = 100;
+/// The smallest buffer for a head that hyper accepts.
+pub(super) const MIN_BUFFER_BYTES: usize = 8 << 10;
+/// The delay after a failed accept; connections that end meanwhile free file descriptors.
+const ACCEPT_RETRY_DELAY_MS: u64 = 20;
+/// How often a connection that is to close checks whether its request has arrived or ended. With 300
+/// connections the checks take 8 % of a core.
+const CLOSE_CHECK_INTERVAL_MS: u64 = 10;
+/// How long a planned stop waits for the first request on a new connection. Its caller opened it to
+/// send one, which arrives a round trip later.
+const FIRST_REQUEST_TIMEOUT_MS: u64 = 100;
 
-/// Accepts callers until `close` is set, those that came before it as well.
+/// Accepts connections until `close` is set, and then those that are still in the listener's queue.
 pub async fn accept(traffic: Rc<Traffic>, listener: TcpListener, mut close: watch::Receiver<bool>) {
     loop {
         let accepted = tokio::select! {
@@ -42,7 +42,7 @@
         };
         match accepted {
             Ok((stream, _)) => {
-                // Counted before its task first runs, so that no look misses it.
+                // Counted before its task first runs, so that the count never misses it.
                 let guard = ConnectionGuard::new(&traffic);
                 let serving = serve(Rc::clone(&traffic), stream, close.clone());
                 tokio::task::spawn_local(async move {
@@ -55,39 +55,50 @@
                 if *close.borrow() {
                     return;
                 }
-                tokio::time::sleep(Duration::from_millis(ACCEPT_AGAIN_MS)).await;
+                tokio::time::sleep(Duration::from_millis(ACCEPT_RETRY_DELAY_MS)).await;
             }
         }
     }
 }
 
-/// What a connection does next.
+/// What is to be done with a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Next {
-    /// It goes on.
-    GoOn,
-    /// It closes after what it is doing; at once if that is nothing.
+pub enum NextAction {
+    /// Keep serving it.
+    KeepServing,
+    /// Close it after the request in progress, or at once if there is none.
     Close,
-    /// Its head did not come in time.
+    /// Reject it: the head of a request did not arrive within its timeout.
     TooSlow,
 }
 
-/// What a connection does next, from where it stands.
+/// Decides what is to be done with a connection at this stage.
 ///
-/// `is_closing` says that a planned stop closes all connections, `is_new` that this one has not
-/// brought a request yet.
-pub fn next(stage: Stage, is_closing: bool, is_new: bool, limits: &Limits, now_ms: u64) -> Next {
+/// `is_closing`: a planned stop is closing all connections. `is_new`: no request has arrived on this
+/// one yet.
+pub fn next_action(
+    stage: Stage,
+    is_closing: bool,
+    is_new: bool,
+    limits: &Limits,
+    now_ms: u64,
+) -> NextAction {
     match stage {
-        Stage::Head(since_ms) if now_ms >= since_ms + limits.head_timeout_ms => Next::TooSlow,
-        // hyper would close with the bytes of a head that has begun; it closes with its answer.
-        Stage::Head(_) => Next::GoOn,
+        Stage::Head(since_ms) if now_ms >= since_ms + limits.head_timeout_ms => NextAction::TooSlow,
+        // hyper would drop the bytes of the incomplete head. The connection closes after the answer
+        // to this request instead.
+        Stage::Head(_) => NextAction::KeepServing,
         Stage::Idle(since_ms) => {
-            let is_over = now_ms >= since_ms + limits.idle_timeout_ms;
-            let is_awaited = is_new && now_ms < since_ms + NEW_CONNECTION_MS;
-            if is_over || (is_closing && !is_awaited) { Next::Close } else { Next::GoOn }
+            let is_expired = now_ms >= since_ms + limits.idle_timeout_ms;
+            let awaits_first = is_new && now_ms < since_ms + FIRST_REQUEST_TIMEOUT_MS;
+            if is_expired || (is_closing && !awaits_first) {
+                NextAction::Close
+            } else {
+                NextAction::KeepServing
+            }
         }
-        Stage::Serving | Stage::Answering | Stage::Flushing if is_closing => Next::Close,
-        Stage::Serving | Stage::Answering | Stage::Flushing => Next::GoOn,
+        Stage::Serving | Stage::Answering | Stage::Flushing if is_closing => NextAction::Close,
+        Stage::Serving | Stage::Answering | Stage::Flushing => NextAction::KeepServing,
     }
 }
 
@@ -103,31 +114,32 @@
         let progress = Rc::clone(&progress);
         service_fn(move |request: Request<Incoming>| {
             requests.set(requests.get() + 1);
-            progress.begin();
+            progress.head_received();
             let traffic = Rc::clone(&traffic);
             let progress = Rc::clone(&progress);
             let number = requests.get();
             async move {
                 let demand = traffic.dialect.demand(request.headers());
-                let open = OpenGuard::new(&traffic, demand.id.clone(), number);
+                let open = OpenRequestGuard::new(&traffic, demand.id.clone(), number);
                 let answer = front::serve(&traffic, demand, request).await;
-                progress.answer();
-                Ok::<_, Infallible>(answer.map(|body| Delivery::new(body, open, progress)))
+                progress.answer_started();
+                Ok::<_, Infallible>(answer.map(|body| DeliveredBody::new(body, open, progress)))
             }
         })
     };
     let stream = Rc::new(stream);
-    let watched = Watched::new(Rc::clone(&stream), Rc::clone(&progress));
+    let observed = ObservedStream::new(Rc::clone(&stream), Rc::clone(&progress));
     let mut builder = http1::Builder::new();
-    builder.max_buf_size(limits.head_bytes.max(LEAST_BUFFER_BYTES));
-    let mut connection = builder.serve_connection(TokioIo::new(watched), service);
+    builder.max_buf_size(limits.head_bytes.max(MIN_BUFFER_BYTES));
+    let mut connection = builder.serve_connection(TokioIo::new(observed), service);
     let mut is_closing = false;
     let mut has_closed = false;
     loop {
-        let is_looking = is_closing && !has_closed;
-        let patience_ms = if is_looking { CLOSE_LOOK_MS } else { limits.head_timeout_ms.max(1) };
+        let is_checking = is_closing && !has_closed;
+        let wait_ms =
+            if is_checking { CLOSE_CHECK_INTERVAL_MS } else { limits.head_timeout_ms.max(1) };
         tokio::select! {
-            // What has arrived is read before the connection is told to close.
+            // Bytes that have arrived are read before the connection is closed.
             biased;
             ended = &mut connection => {
                 if let Err(error) = ended {
@@ -136,32 +148,32 @@
                 return;
             }
             _ = close.wait_for(|close| *close), if !is_closing => is_closing = true,
-            () = tokio::time::sleep(Duration::from_millis(patience_ms)) => {}
+            () = tokio::time::sleep(Duration::from_millis(wait_ms)) => {}
         }
         let is_new = requests.get() == 0;
         let stage = progress.stage();
-        match next(stage, is_closing, is_new, &limits, traffic.now_ms()) {
-            Next::Close if matches!(stage, Stage::Idle(_)) => {
+        match next_action(stage, is_closing, is_new, &limits, traffic.now_ms()) {
+            NextAction::Close if matches!(stage, Stage::Idle(_)) => {
                 let idle = connection.into_parts();
                 if idle.read_buf.is_empty() {
                     return;
                 }
-                // A head that came in the same bytes as the request before it has begun.
-                let mut watched = idle.io.into_inner();
-                watched.put_back(idle.read_buf);
-                connection = builder.serve_connection(TokioIo::new(watched), idle.service);
+                // The start of the next head was read together with the request before it.
+                let mut observed = idle.io.into_inner();
+                observed.put_back(idle.read_buf);
+                connection = builder.serve_connection(TokioIo::new(observed), idle.service);
             }
-            Next::Close if !has_closed => {
+            NextAction::Close if !has_closed => {
                 has_closed = true;
                 Pin::new(&mut connection).graceful_shutdown();
             }
-            Next::TooSlow => {
+            NextAction::TooSlow => {
                 let failure = Failure::TooSlow { timeout_ms: limits.head_timeout_ms };
                 slog::warn!(traffic.log, "rejected"; "status" => failure.status(),
                     "why" => %failure);
-                return caller::tell(&stream, &failure);
+                return caller::write_failure(&stream, &failure);
             }
-            Next::Close | Next::GoOn => {}
+            NextAction::Close | NextAction::KeepServing => {}
         }
     }
 }
--- a/tests/gateway/decisions.rs
+++ b/tests/gateway/decisions.rs
@@ -3,7 +3,7 @@
 
 use std::sync::Arc;
 
-use siskinrock::gateway::events::Splitter;
+use siskinrock::gateway::events::EventSplitter;
 use siskinrock::gateway::fleet::{Change, Fleet, Upstream};
 use siskinrock::gateway::policy::budget::{Bound, Budget};
 use siskinrock::gateway::policy::engine::Load;
@@ -328,7 +328,7 @@
     let text =
         "x-weight-versions: 3\nid: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\ndata: c\n\nid: 4\nda";
     for cut in 0..text.len() {
-        let mut splitter = Splitter::default();
+        let mut splitter = EventSplitter::default();
         let mut events = Vec::new();
         splitter.push(&text.as_bytes()[..cut], &mut events);
         splitter.push(&text.as_bytes()[cut..], &mut events);
