--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -1,8 +1,8 @@
-//! A stream of events that outlives its engine inside one answer.
+//! Event streams that survive the loss of their engine within one response.
 //!
-//! While an engine runs it, a copy of the run's memory grows at an engine of another failure
-//! domain. When the first one breaks off or falls silent, the run goes on from that copy after the
-//! last whole event that the caller has, and a new copy is started at once.
+//! While an engine runs a request, a copy of the run's KV cache grows at an engine in another
+//! failure domain. If the first engine closes the connection or stops responding, the run resumes
+//! from the copy after the last whole event that the caller has, and a new copy is started at once.
 
 mod attempt;
 mod copy;
@@ -29,17 +29,19 @@
 use super::traffic::Traffic;
 use super::worker::Worker;
 
-/// The wait before another look when no engine takes work in the middle of an answer, doubled each
-/// time: all that were left are asked again then, and the few that still live are full.
+/// Initial delay before another attempt when no engine accepts the rest of a response, doubled each
+/// time. All engines are tried again then, including those that the run left: the few that are
+/// still alive are full.
 const LOOK_AGAIN_MS: u64 = 50;
-/// The longest such wait: a run that lost its engine still goes on within a second of a free one.
+/// Maximum of this delay: a run that lost its engine resumes within a second of an engine becoming
+/// free.
 const LOOK_AGAIN_MOST_MS: u64 = 800;
-/// How long a run keeps away from a failure domain in which it lost an engine: engines that crashed
-/// are back after about 1.2 s, and with one domain of three left out for longer, the copies of the
-/// next loss lie where their runs are.
+/// How long a run avoids a failure domain in which it lost an engine. Engines that crashed are back
+/// after about 1.2 s, and if one domain of three were avoided for longer, copies would lie in the
+/// same domain as their runs at the next loss.
 const AVOID_MS: u64 = 1_500;
 
-/// Serves a stream: returns the head of the answer, whose body then grows.
+/// Serves a stream. Returns the head of the response, whose body is sent as events arrive.
 pub async fn serve(traffic: &Rc<Traffic>, job: Job) -> Answer {
     let (head, answered) = oneshot::channel();
     let traffic = Rc::clone(traffic);
@@ -49,82 +51,82 @@
         tokio::select! {
             biased;
             () = run.drive() => {}
-            // What ran so long is cut: its caller goes on elsewhere after its last event.
+            // The response is truncated; its caller resumes elsewhere after its last event.
             () = traffic.gives_last_answers() => run.give_up(Failure::Stopped),
-            // It may wait at an engine, which crashes if the run begins there.
+            // The request may be queued at an engine, which would crash when the run starts.
             () = traffic.is_quarantined(&job) => {
                 run.give_up(Failure::Poison { fingerprint: job.fingerprint() });
             }
         }
     });
-    // The run always answers, unless its caller has left.
+    // The run always sends a response, unless its caller has disconnected.
     answered.await.unwrap_or_else(|_| answer::failed(&Failure::Unknown, None))
 }
 
 /// How an attempt ended.
 #[derive(Debug)]
 enum Outcome {
-    /// The answer is complete, or was given otherwise.
+    /// The response is complete, or the caller was sent an upstream's error.
     Done,
-    /// The caller has left.
+    /// The caller disconnected.
     CallerLeft,
-    /// It certainly did not run there.
+    /// The request certainly did not run there.
     NotRun { why: Refused },
-    /// It goes on elsewhere, if it may.
+    /// The run lost its engine, and resumes elsewhere if the route allows that.
     Lost { why: String, loss: Loss },
-    /// Another engine has taken the run.
+    /// Another engine has taken over the run.
     Moved(Box<Opened>),
-    /// The time is over.
+    /// The deadline has passed.
     TimeOver,
-    /// The budget of repeats of all instances is used up.
+    /// The retry budget of all instances is exhausted.
     OverBudget,
 }
 
 /// How far a run has come at one engine.
 #[derive(Debug, Clone, Copy, Default)]
 struct Progress {
-    /// When the head of its answer came, with which the run begins there.
+    /// When the response head arrived, with which the run starts there.
     answers_since_ms: Option<u64>,
-    /// Events that the engine has made of it.
+    /// Events of the run that the engine has sent.
     events: u64,
 }
 
-/// An engine that ended under a run a moment ago.
+/// A crash of an engine during the run that may have no verdict yet.
 #[derive(Debug, Clone, Copy)]
 struct Unjudged {
     at_ms: u64,
-    /// What that counts against the request.
+    /// Points that the crash counts against the request.
     points: u32,
 }
 
-/// What became of the engine that a run was lost at.
+/// How a run lost its engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Loss {
-    /// It ended the connection without an end of the answer, as a process that ends does.
+    /// The engine closed the connection before the end of the response, as an exiting process does.
     BrokeOff,
-    /// It is silent.
+    /// The engine stopped responding.
     Silent,
-    /// It lives, and the run is left or can't be used.
+    /// The engine is alive, but the run left it or its response is unusable.
     Left,
 }
 
 impl Loss {
-    /// Whether the engine is gone.
+    /// Whether the engine itself is gone.
     fn is_engine_gone(self) -> bool {
         self != Loss::Left
     }
 }
 
-/// Why an engine certainly did not run a request.
+/// Why a request certainly did not run at an engine.
 #[derive(Debug, Clone, PartialEq, Eq, derive_more::Display)]
 enum Refused {
-    /// Nothing of it was sent.
+    /// The request was not sent.
     #[display("{_0}")]
     NotSent(String),
-    /// Another engine has the address: that says nothing of how full the service is.
+    /// Another engine has the address, which says nothing about how full the service is.
     #[display("another engine has its address")]
     Replaced,
-    /// The engine itself said so.
+    /// The engine itself said so, with this status.
     #[display("status {_0}")]
     Status(u16),
 }
@@ -139,20 +141,21 @@
     first_ms: Option<u64>,
     longest_gap_ms: u64,
     lost_ms: Option<u64>,
-    /// How far the run has come at its present engine.
+    /// How far the run has come at its current engine.
     here: Progress,
-    /// Engines that ended under it and whose ends may not be judged yet.
+    /// Crashes during the run that may have no verdict yet.
     crashes: Vec<Unjudged>,
-    /// The last event before an engine ended under it; some more events clear it.
+    /// The last event before the latest crash. Some events later, the crashes are cleared.
     crashed_at: Option<u64>,
     may_have_run: bool,
-    /// Attempts that count against the route's bound.
+    /// Attempts that count against the route's maximum.
     sent: u32,
-    /// Requests that reached an engine, each of which draws on the budget of repeats but the first.
+    /// Requests that reached an engine. All but the first take a retry from the budget.
     arrived: u32,
-    /// A repeat that was taken before a living engine was left, for the next attempt.
+    /// Whether a retry was taken for the next attempt before the run left an engine that is alive.
     has_repeat: bool,
-    /// Whether its caller goes on after the loss of all instances, so that its allowed pause is over.
+    /// Whether the caller reconnected after the loss of all instances, so that the allowed gap
+    /// between events is exceeded already.
     is_late: bool,
     stuck_moves: u32,
     look_again_ms: u64,
@@ -206,7 +209,8 @@
                     return self.give_up(Failure::NoUpstream);
                 }
                 if !self.may_have_run {
-                    // Every engine has refused it, so asking the same ones again gains nothing.
+                    // Every engine has refused the request; asking the same ones again gains
+                    // nothing.
                     return self.give_up(Failure::Full);
                 }
                 if !self.wait_for_room().await {
@@ -222,7 +226,8 @@
         }
     }
 
-    /// An attempt, and what follows where other engines take the run over. Returns the last engine.
+    /// Makes an attempt, and follows the run while other engines take it over. Returns the last
+    /// engine.
     async fn play(&mut self, worker: Rc<Worker>, copy: Option<Copy>) -> (Rc<Worker>, Outcome) {
         let mut worker = worker;
         let mut outcome = self.attempt(&worker, copy).await;
@@ -233,8 +238,9 @@
         (worker, outcome)
     }
 
-    /// Finds out where the prompt of a caller lies that goes on after the loss of all instances; where
-    /// it has to be read anew, others go first. False if the caller has left or its time is over.
+    /// Finds the cached prompt of a caller that reconnects after the loss of all instances. If its
+    /// prompt has to be processed again, other requests go first. Returns false if the caller has
+    /// disconnected or the deadline has passed.
     async fn come_back(&mut self) -> bool {
         let part = self.part().filter(|_| self.last_event.is_some());
         if let Some(part) = part {
@@ -246,8 +252,8 @@
         self.traffic.place_of(part).is_some() || self.let_others_go_first().await
     }
 
-    /// Waits while those that can still be on time need the engines. False if the caller has left or
-    /// its time is over.
+    /// Waits while requests that can still be on time need the engines. Returns false if the caller
+    /// has disconnected or the deadline has passed.
     async fn let_others_go_first(&mut self) -> bool {
         let late = admission::Late { since_ms: self.job.since_ms, until_ms: self.job.until_ms };
         loop {
@@ -260,20 +266,20 @@
         }
     }
 
-    /// The time is over: what every engine refused has certainly not run.
+    /// The failure once the deadline has passed. What every engine refused has certainly not run.
     fn time_over(&self) -> Failure {
         if self.may_have_run { Failure::TimeOver } else { Failure::TimeOverUnsent }
     }
 
-    /// What follows from an attempt; whether there is another one.
+    /// Handles the outcome of an attempt; returns whether to make another one.
     async fn goes_on(&mut self, worker: &Rc<Worker>, outcome: Outcome) -> bool {
         let now_ms = self.traffic.now_ms();
         let id = &worker.upstream.id;
         match outcome {
-            // Moves are followed where they happen.
+            // Takeovers were followed already.
             Outcome::Done | Outcome::Moved(_) => return false,
             Outcome::CallerLeft => {
-                slog::info!(self.traffic.log, "caller left"; "request" => self.job.id(),
+                slog::info!(self.traffic.log, "caller disconnected"; "request" => self.job.id(),
                     "last_event" => self.last_event,
                     "ms" => now_ms - self.job.since_ms);
                 return false;
@@ -284,15 +290,15 @@
             }
             Outcome::OverBudget if self.body.is_some() => return self.wait_for_room().await,
             Outcome::OverBudget => {
-                slog::warn!(self.traffic.log, "no repeat left in the budget";
+                slog::warn!(self.traffic.log, "retry budget exhausted";
                     "request" => self.job.id(), "service" => &*self.job.service);
                 self.traffic.metrics.count("repeats_over_budget");
                 self.give_up(Failure::TooManyRepeats);
                 return false;
             }
             Outcome::NotRun { why } => {
-                slog::info!(self.traffic.log, "engine did not run it"; "request" => self.job.id(),
-                    "upstream" => &**id, "why" => %why);
+                slog::info!(self.traffic.log, "engine did not run the request";
+                    "request" => self.job.id(), "upstream" => &**id, "why" => %why);
                 self.left.push(Arc::clone(id));
                 self.copy = None;
                 return self.goes_on_unrun(&why).await;
@@ -306,7 +312,7 @@
                 self.may_have_run = true;
                 if loss.is_engine_gone() {
                     self.lost_domains.push((Arc::clone(&worker.upstream.domain), now_ms));
-                    // What ended by itself doesn't count among the attempts.
+                    // An engine that ended by itself doesn't count as an attempt.
                     self.sent = self.sent.saturating_sub(1).max(1);
                 }
             }
@@ -322,11 +328,11 @@
         self.wait_for_judgement().await
     }
 
-    /// Whether there is another attempt after one that certainly did not run.
+    /// Handles an attempt that certainly did not run; returns whether to make another one.
     async fn goes_on_unrun(&mut self, why: &Refused) -> bool {
         let Refused::Status(_) = why else { return true };
         if self.body.is_some() || self.may_have_run {
-            // It has not run there, so it is no attempt by the route's bound.
+            // The request did not run there, so it doesn't count against the route's maximum.
             self.sent -= 1;
             return self.wait_for_room().await;
         }
@@ -337,9 +343,10 @@
         false
     }
 
-    /// Waits before a run that has lost its engine goes on: engines are full, or the retry budget is
-    /// used up. Asked without a pause, four engines refuse within 80 ms and the answer is cut; a little
-    /// later one of their runs has ended. False if the caller has left or its time is over.
+    /// Waits before a run that lost its engine resumes, if engines are full or the retry budget is
+    /// exhausted. Without a delay, four engines refuse within 80 ms and the response is truncated;
+    /// a little later one of their runs has ended. Returns false if the caller has disconnected or
+    /// the deadline has passed.
     async fn wait_for_room(&mut self) -> bool {
         let pause_ms = self.look_again_ms;
         self.look_again_ms = (pause_ms * 2).min(LOOK_AGAIN_MOST_MS);
@@ -350,7 +357,8 @@
         false
     }
 
-    /// The engine for the next attempt: the one with the copy, or the best one.
+    /// Chooses the engine for the next attempt: the one with the copy, else the one that has the
+    /// prompt cached, else the best one.
     fn place(&mut self) -> Option<(Rc<Worker>, Option<Copy>)> {
         self.take_finished_copy(self.traffic.now_ms());
         if let Some(copy) = self.copy.take()
@@ -376,7 +384,7 @@
         chosen.map(|worker| (worker, None))
     }
 
-    /// Failure domains in which the run lost an engine a moment ago.
+    /// Failure domains in which the run recently lost an engine.
     fn lost_domains(&self) -> Vec<Arc<str>> {
         if !Mechanism::Avoid.is_on() {
             return Vec::new();
@@ -386,12 +394,12 @@
         recent.map(|(domain, _)| Arc::clone(domain)).collect()
     }
 
-    /// How long the route lets the stream be quiet.
+    /// How long the route allows the stream to be silent.
     fn patience(&self) -> Patience {
         Patience::of(self.job.route.target_latency_ms, self.job.route.target_gap_ms)
     }
 
-    /// The prompt's last part, which is the request's own.
+    /// The hash of the prompt's last part, which is the request's own.
     fn part(&self) -> Option<u64> {
         self.job.demand.prompt_parts.last().map(|part| part.hash)
     }
@@ -401,7 +409,7 @@
         self.traffic.need(&self.job)
     }
 
-    /// Ends the run without a complete answer.
+    /// Ends the run without a complete response.
     fn give_up(&mut self, failure: Failure) {
         let failure = match failure {
             Failure::Full | Failure::NoUpstream | Failure::TooManyRepeats if self.may_have_run => {
@@ -416,7 +424,7 @@
         let after_ms = self.traffic.comes_back_ms(&self.job, &failure);
         let answer = self.traffic.refuse(&self.job, &failure, after_ms);
         if let Some(body) = self.body.take() {
-            // Without its last chunk, the answer can't be taken for a complete one.
+            // Without the last chunk, the response can't be mistaken for a complete one.
             tokio::task::spawn_local(async move {
                 let _ = body.send(Err(Cut)).await;
             });
@@ -426,12 +434,12 @@
 
     fn answer(&mut self, answer: Answer) {
         if let Some(head) = self.head.take() {
-            // A caller that has left needs no answer.
+            // A caller that has disconnected needs no response.
             let _ = head.send(answer);
         }
     }
 
-    /// Waits a moment; false if the caller has left or the time is over.
+    /// Waits. Returns false if the caller disconnects, or at once if the deadline comes first.
     async fn wait(&mut self, wait_ms: u64) -> bool {
         let now_ms = self.traffic.now_ms();
         if now_ms + wait_ms >= self.job.until_ms {
@@ -448,7 +456,7 @@
     Outcome::Lost { why: why.into(), loss }
 }
 
-/// Ends when the caller has closed its connection.
+/// Completes when the caller has closed its connection.
 async fn caller_left(
     head: &mut Option<oneshot::Sender<Answer>>,
     body: &Option<mpsc::Sender<Part>>,
--- a/src/gateway/stream/attempt.rs
+++ b/src/gateway/stream/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of a run at one engine, from the channel to the head of its answer.
+//! One attempt of a run at one engine, from acquiring a channel to the response head.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -23,14 +23,14 @@
 use super::copy::Growing;
 use super::{Loss, Outcome, Progress, Refused, Run, caller_left, lost, until};
 
-/// Events that may wait for a slow caller before its engine is slowed.
+/// Maximum number of events buffered for a slow caller before backpressure slows its engine.
 const WAITING_EVENTS: usize = 16;
-/// The priority of a run that goes on, before all new ones.
+/// The priority of a resumed run, ahead of all new ones.
 const RESUMED_PRIORITY: u8 = 0;
-/// The lowest priority that engines know.
+/// The lowest priority that engines support.
 const LOWEST_PRIORITY: u8 = 9;
 
-/// An engine's answer of which the head has come.
+/// An engine's response whose head has arrived.
 #[derive(Debug)]
 pub(super) struct Opened {
     pub(super) worker: Rc<Worker>,
@@ -38,13 +38,13 @@
     pub(super) body: Incoming,
     pub(super) marks: Marks,
     pub(super) silences: watch::Receiver<u64>,
-    /// Counts the prompt until the first event.
+    /// Counts the prompt as being processed until the first event.
     pub(super) reading: Option<Count>,
     pub(super) _run: Count,
 }
 
 impl Run {
-    /// One attempt, from the channel to the end of its answer.
+    /// Makes one attempt, from acquiring a channel to the end of the response.
     pub(super) async fn attempt(&mut self, worker: &Rc<Worker>, from: Option<Copy>) -> Outcome {
         match self.open(worker, from).await {
             Ok(opened) => self.relay(opened).await,
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Sends the request and waits for the head of its answer, which comes with the first event.
+    /// Acquires a channel, sends the request and waits for the response head.
     pub(super) async fn open(
         &mut self,
         worker: &Rc<Worker>,
@@ -63,7 +63,9 @@
         let mut silences = worker.silences.subscribe();
         silences.mark_unchanged();
         if !traffic.admits(worker).await {
-            return Err(Outcome::NotRun { why: Refused::NotSent("it is throttled".to_owned()) });
+            return Err(Outcome::NotRun {
+                why: Refused::NotSent("the upstream is throttled".to_owned()),
+            });
         }
         let most = traffic.channel_share(&self.job.service);
         let mut lease = match worker.lease(most, traffic.now_ms()).await {
@@ -75,13 +77,15 @@
                 return Err(Outcome::NotRun { why: Refused::NotSent(fault.to_string()) });
             }
         };
-        // Only what is really sent again draws on the budget.
+        // Only a request that is really sent again takes a retry from the budget.
         if self.arrived > 0 && !self.take_repeat() {
             worker.give_back(lease, None, traffic.now_ms());
             return Err(Outcome::OverBudget);
         }
         if !traffic.takes_work(&worker.upstream.id) {
-            return Err(Outcome::NotRun { why: Refused::NotSent("it is leaving".to_owned()) });
+            return Err(Outcome::NotRun {
+                why: Refused::NotSent("the upstream is leaving".to_owned()),
+            });
         }
         let copy = self.place_copy(worker);
         let is_read = from.is_none() && self.last_event.is_none();
@@ -135,7 +139,7 @@
         self.arrived += 1;
     }
 
-    /// Sends the request and waits until the engine answers, which it does with the first event.
+    /// Sends the request and waits for the response head, which arrives with the first event.
     async fn wait_for_head(
         &mut self,
         worker: &Rc<Worker>,
@@ -157,7 +161,7 @@
                         continue;
                     }
                     self.note_arrival();
-                    return Err(lost("silent before its answer", Loss::Silent));
+                    return Err(lost("silent before its response head", Loss::Silent));
                 }
                 () = until(&traffic, wake_ms) => {}
             }
@@ -193,13 +197,13 @@
         }
     }
 
-    /// When the first event is overdue, if there may be another attempt.
+    /// How long after sending the first event is overdue, if another attempt is possible.
     fn overdue_ms(&self) -> Option<u64> {
         self.can_leave(self.sent + 1).then(|| self.traffic.overdue_ms(&self.job, self.arrived))
     }
 
-    /// Whether there may be another attempt after so many, so that leaving a silent engine gains
-    /// something: otherwise the caller waits for whatever comes.
+    /// Whether another attempt is possible after `sent` of them, so that leaving a silent engine
+    /// gains something. Otherwise the run waits for whatever arrives.
     pub(super) fn can_leave(&self, sent: u32) -> bool {
         let Route { repeat, max_attempts, .. } = *self.job.route;
         let is_last = sent >= max_attempts;
@@ -207,19 +211,19 @@
         repeat == Repeat::Resumable && !is_last && has_repeat()
     }
 
-    /// The same, and the repeat is taken: all runs of an engine leave it in the same moment, and
-    /// those for which no repeat was left would be cut although their engine lives.
+    /// Like the above, and takes the retry: all runs of an engine leave it at the same moment, and
+    /// those for which no retry is left would be truncated although their engine is alive.
     pub(super) fn leaves(&mut self, sent: u32) -> bool {
         self.has_repeat = self.can_leave(sent) && self.take_repeat();
         self.has_repeat
     }
 
-    /// Takes a repeat from the budget, or the one that was taken before.
+    /// Takes a retry from the budget, or uses the one taken before.
     fn take_repeat(&mut self) -> bool {
         std::mem::take(&mut self.has_repeat) || self.traffic.may_repeat(&self.job.service)
     }
 
-    /// What an engine's answer to the question means for a run that is silent there, with `sent`
+    /// Decides what an engine's state means for a run that is silent there; `sent` counts the
     /// attempts including this one.
     pub(super) fn judge_silence(
         &mut self,
@@ -230,11 +234,11 @@
         sent: u32,
     ) -> Option<Outcome> {
         if matches!(life, Life::Lost) {
-            return Some(lost("silent, and its state can't be read", Loss::Silent));
+            return Some(lost("silent, and its liveness probe failed", Loss::Silent));
         }
         let sighting = life.sighting(self.job.id());
         let verdict = silence.see(sighting, asked_ms);
-        slog::info!(self.traffic.log, "silent run asked about"; "request" => self.job.id(),
+        slog::info!(self.traffic.log, "silent run checked"; "request" => self.job.id(),
             "upstream" => &*worker.upstream.id, "sighting" => ?sighting, "verdict" => ?verdict,
             "told" => %life, "reading" => self.traffic.reading_at(worker),
             "after" => self.last_event, "quiet_ms" => asked_ms - self.last_event_ms);
@@ -247,8 +251,9 @@
         }
     }
 
-    /// Whether a caller that goes on finds its prompt in an engine's memory. Where it is read anew,
-    /// the allowed pause is over anyway, and new requests that can still be on time don't wait for it.
+    /// Whether an engine has the prompt of a reconnecting caller cached. If the prompt is processed
+    /// again, the allowed gap is exceeded anyway, and new requests that can still be on time don't
+    /// wait for it.
     fn holds_prompt(&self, worker: &Worker) -> bool {
         let part = self.part().filter(|_| self.job.demand.last_event.is_some());
         let place = part.and_then(|part| self.traffic.place_of(part));
@@ -274,7 +279,7 @@
         }
     }
 
-    /// Looks at the head of an answer; an outcome if it can't be used.
+    /// Checks the head of a response; returns an outcome if the response is unusable.
     fn check_head(
         &mut self,
         worker: &Rc<Worker>,
@@ -285,7 +290,7 @@
         if marks.id.is_some() && marks.id != self.job.demand.id {
             self.traffic.metrics.count("answers_of_other_requests");
             self.traffic.note_bounds(worker, marks);
-            return Some(lost("the answer belongs to another request", Loss::Left));
+            return Some(lost("the response belongs to another request", Loss::Left));
         }
         if response.status().as_u16() == 421 {
             self.traffic.replaced(worker);
@@ -295,7 +300,8 @@
         let status = response.status().as_u16();
         self.traffic.note_signals(worker, status, marks);
         if status == 421 {
-            // Who is there has nothing to do with the route's bound on upstreams that run it.
+            // The engine that is there now doesn't count against the route's maximum of upstreams
+            // that run the request.
             self.sent -= 1;
             return Some(Outcome::NotRun { why: Refused::Replaced });
         }
@@ -303,12 +309,12 @@
             return Some(Outcome::NotRun { why: Refused::Status(status) });
         }
         if status == 200 && !marks.is_signed {
-            return Some(lost("the answer is not signed", Loss::Left));
+            return Some(lost("the response is not signed", Loss::Left));
         }
         None
     }
 
-    /// An upstream's own error: it goes to the caller, unless the run may go on elsewhere.
+    /// Handles an upstream's error: it goes to the caller, unless the run may resume elsewhere.
     async fn pass_on_failure(
         &mut self,
         worker: &Rc<Worker>,
@@ -326,7 +332,7 @@
         self.copy = None;
         let headers = headers::end_to_end(response.headers().clone());
         let Ok(body) = response.into_body().collect().await else {
-            return lost(format!("status {status} with a broken body"), Loss::Left);
+            return lost(format!("status {status} with an incomplete body"), Loss::Left);
         };
         if self.job.body.is_empty() {
             worker.give_back(lease, marks.keep_ms, self.traffic.now_ms());
@@ -335,7 +341,7 @@
         Outcome::Done
     }
 
-    /// Gives the caller the head of the first answer; later ones only bring events.
+    /// Sends the caller the head of the first response; later ones only contribute events.
     fn open_body(&mut self, response: Response<Incoming>) -> Incoming {
         let (head, body) = response.into_parts();
         if self.body.is_none() {
--- a/src/gateway/stream/copy.rs
+++ b/src/gateway/stream/copy.rs
@@ -1,4 +1,4 @@
-//! The copy of a run's memory at a second engine: where it goes, and when it is made anew.
+//! The copy of a run's KV cache at a second engine: where it is placed and when it is renewed.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -15,11 +15,11 @@
 use super::super::worker::{Count, What, Worker};
 use super::Run;
 
-/// The pause between tries to copy a run: each is a call to its engine.
+/// Minimum interval between attempts to copy a run; each is a call to its engine.
 const COPY_PAUSE_MS: u64 = 500;
-/// How long a copy may take: its memory passes in milliseconds, behind others on the link.
+/// How long a copy may take: the transfer takes milliseconds, but waits behind others on the link.
 const COPY_TIMEOUT_MS: u64 = 1_500;
-/// A copy that a call has made: where it lies, and its name.
+/// A copy that a call has made: the engine that holds it, and its name.
 pub(super) type NewCopy = (Rc<Worker>, Copy);
 
 /// An engine that was named for a growing copy; it holds one from the first event on.
@@ -29,17 +29,17 @@
     pub(super) _count: Count,
 }
 
-/// Where the copy of the run's memory lies.
+/// The copy of the run's KV cache, and the engine that holds it.
 #[derive(Debug)]
 pub(super) struct CopyAt {
     pub(super) worker: Rc<Worker>,
     pub(super) name: Copy,
-    /// When it has to be renewed, if it doesn't grow by itself.
+    /// When the copy has to be renewed, if it doesn't grow with the run.
     pub(super) renew_ms: Option<u64>,
     pub(super) _count: Count,
 }
 
-/// Copies a run's memory as it is now; the source keeps the run.
+/// Copies a run's KV cache as it is now; the run stays at the source.
 async fn copy_run(
     traffic: Rc<Traffic>,
     source: Rc<Worker>,
@@ -61,15 +61,16 @@
 }
 
 impl Run {
-    /// Whether an engine can take a run or a new copy.
+    /// Whether an engine can take over a run or hold a new copy.
     pub(super) fn is_fit(&self, worker: &Worker) -> bool {
         let now_ms = self.traffic.now_ms();
         self.traffic.takes_work(&worker.upstream.id) && !self.traffic.is_doubtful(worker, now_ms)
     }
 
-    /// The engine for a new copy: not where the run is, nor where it was lost, nor where it would put
-    /// a run out of memory; it is tried again later. A run that is late gets none: the copy would take
-    /// the memory of those that are not, and save a pause that is over.
+    /// Chooses the engine for a new copy: not the run's own, nor one that it left, nor one that
+    /// would have to preempt a run for it; copying is then tried again later. A late run gets no
+    /// copy: the copy would take memory from runs that are not late, to save a gap that is exceeded
+    /// already.
     pub(super) fn place_copy(&self, worker: &Worker) -> Option<Rc<Worker>> {
         let can_copy = self.engine().is_some_and(|engine| engine.can_copy);
         let is_off = !Mechanism::Copies.is_on();
@@ -91,14 +92,14 @@
         (self.is_fit(&chosen) && has_room()).then_some(chosen)
     }
 
-    /// Whether the copy at an engine can still be used: it may be in doubt, which a question
-    /// settles for less than a new copy costs.
+    /// Whether the copy at an engine is still usable. A suspected engine counts: a probe costs less
+    /// than a new copy.
     pub(super) fn keeps_copy(&self, worker: &Worker) -> bool {
         let now_ms = self.traffic.now_ms();
         self.traffic.takes_work(&worker.upstream.id) && !self.traffic.is_lost(worker, now_ms)
     }
 
-    /// Notes the engine at which a copy grows since the first event.
+    /// Records the engine at which a copy has been growing since the first event.
     pub(super) fn note_copy(&mut self, growing: Option<Growing>) {
         self.copy = growing.map(|Growing { worker, _count }| CopyAt {
             name: Copy { addr: worker.upstream.addr, name: Arc::from(self.job.id()) },
@@ -108,8 +109,9 @@
         });
     }
 
-    /// Has the run's memory copied to another engine if the copy's engine is lost, leaves or lies
-    /// in the run's own failure domain, or if such a copy, which doesn't grow by itself, gets old.
+    /// Starts a copy to another engine if the present copy's engine is lost, is leaving or lies in
+    /// the run's own failure domain, or if the present copy was made by a call, so that it doesn't
+    /// grow, and is old.
     pub(super) fn keep_copy(&mut self, worker: &Rc<Worker>) {
         let now_ms = self.traffic.now_ms();
         self.take_finished_copy(now_ms);
@@ -141,14 +143,14 @@
         });
     }
 
-    /// Whether there is no copy, or one that should be elsewhere or newer.
+    /// Whether there is no copy, or one that should lie elsewhere or be newer.
     fn wants_copy(&self, worker: &Worker, now_ms: u64) -> bool {
         let Some(copy) = &self.copy else { return true };
         let is_old = copy.renew_ms.is_some_and(|renew_ms| renew_ms <= now_ms);
         is_old || copy.worker.upstream.domain == worker.upstream.domain
     }
 
-    /// Where the run's memory should be copied to.
+    /// The engine to which the run's KV cache should be copied.
     fn copy_target(&self, worker: &Worker) -> Option<Rc<Worker>> {
         let Some(copy) = &self.copy else { return self.place_copy(worker) };
         if copy.worker.upstream.domain != worker.upstream.domain {
@@ -158,7 +160,7 @@
         better.filter(|better| better.upstream.domain != worker.upstream.domain)
     }
 
-    /// Takes in a copy that was made by a call meanwhile.
+    /// Takes in a copy that a call has made meanwhile.
     pub(super) fn take_finished_copy(&mut self, now_ms: u64) {
         let Some(copying) = &mut self.copying else { return };
         match copying.try_recv() {
--- a/src/gateway/stream/crashes.rs
+++ b/src/gateway/stream/crashes.rs
@@ -1,4 +1,4 @@
-//! Engines that end under a run: what it reports of them, and when it waits for what is made of that.
+//! Crashes of engines during a run: reporting them, and waiting for the verdicts on them.
 
 use std::rc::Rc;
 
@@ -8,7 +8,8 @@
 use super::{Loss, Outcome, Run, Unjudged, lost};
 
 impl Run {
-    /// Notes that an engine ended the connection, and reports it if the run may have caused that.
+    /// Records that an engine closed the connection, and reports a crash if the run may have caused
+    /// it.
     pub(super) fn broke_off(&mut self, worker: &Rc<Worker>, detail: String) -> Outcome {
         let now_ms = self.traffic.now_ms();
         worker.broke(now_ms);
@@ -24,8 +25,9 @@
         lost(detail, Loss::BrokeOff)
     }
 
-    /// Waits until the engines that ended under the run are judged, if that may quarantine it: another
-    /// attempt before that would cost one more engine. False if the time is over or the caller has left.
+    /// Waits for the verdicts on crashes during the run if they may quarantine the request, since
+    /// another attempt before that could crash one more engine. Returns false if the deadline has
+    /// passed or the caller has disconnected.
     pub(super) async fn wait_for_judgement(&mut self) -> bool {
         let now_ms = self.traffic.now_ms();
         self.crashes.retain(|crash| crash.at_ms + JUDGED_MS > now_ms);
@@ -41,7 +43,7 @@
         false
     }
 
-    /// Reports that the run goes on beyond where engines ended under it.
+    /// Reports that the run has progressed beyond the point at which engines crashed.
     pub(super) fn clear_if_beyond_crash(&mut self) {
         let is_beyond =
             |crashed: &u64| self.last_event.is_some_and(|event| event >= crashed + CLEARING_EVENTS);
--- a/src/gateway/stream/relay.rs
+++ b/src/gateway/stream/relay.rs
@@ -1,4 +1,4 @@
-//! Passing an engine's events on to the caller, and noticing when none come.
+//! Forwards an engine's events to the caller, and detects when none arrive.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -17,33 +17,33 @@
 use super::attempt::Opened;
 use super::{Loss, Outcome, Run, caller_left, lost, until};
 
-/// How long an engine may take to go on from a copy before the run stays where it is: it admits such
-/// a run first, and two engines may work on one run for less than half a second.
+/// How long an engine may take to resume a run from a copy before the run stays where it is.
+/// Engines admit such a run first, and two engines may work on one run for less than half a second.
 const HAND_OVER_MS: u64 = 300;
-/// How often a run may leave an engine that lives but makes no events.
+/// How often a run may leave an engine that is alive but sends no events.
 const MOST_STUCK_MOVES: u32 = 2;
 
-/// When an engine made events of a run.
+/// When events of a run arrived from an engine.
 #[derive(Debug, Clone, Copy)]
 struct Times {
     first_ms: u64,
     heard_ms: u64,
 }
 
-/// What a look at a quiet engine brought.
+/// Result of the check of a silent engine.
 enum Quiet {
-    /// Something came after all.
+    /// A frame arrived after all.
     Frame(Option<Result<hyper::body::Frame<Bytes>, hyper::Error>>),
-    /// It lives; wait on.
+    /// The engine is alive; keep waiting.
     Wait,
-    /// The run leaves it.
+    /// The run leaves the engine.
     Leave(Outcome),
-    /// Another engine goes on with the run.
+    /// Another engine has taken over the run.
     Moved(Box<Opened>),
 }
 
 impl Run {
-    /// Passes whole events on until the stream ends, one way or the other.
+    /// Forwards whole events until the stream ends or fails.
     pub(super) async fn relay(&mut self, opened: Opened) -> Outcome {
         let Opened { worker, lease, mut body, marks, mut silences, mut reading, _run } = opened;
         let worker = &worker;
@@ -106,10 +106,10 @@
                     self.complete(worker);
                     return Outcome::Done;
                 }
-                None => return lost("it ended in the middle of an event", Loss::Left),
+                None => return lost("the response ended in the middle of an event", Loss::Left),
             };
             if !splitter.push(&data, &mut events) {
-                return lost("an event has no end", Loss::Left);
+                return lost("an event exceeds the maximum length", Loss::Left);
             }
             traffic.note_begun(&self.job, heard_ms);
             if reading.take().is_some() {
@@ -124,7 +124,7 @@
         }
     }
 
-    /// What to do about an engine that has been quiet.
+    /// Decides how to proceed with an engine that has been silent.
     async fn check_quiet(
         &mut self,
         worker: &Rc<Worker>,
@@ -150,13 +150,13 @@
             return Quiet::Leave(outcome);
         }
         let can_move = self.copy.is_some() && self.stuck_moves < MOST_STUCK_MOVES;
-        // Without another attempt the run would be given up, although its engine lives.
+        // Without another attempt the run would have to be given up, although its engine is alive.
         if is_reading || !can_move || !self.can_leave(self.sent) {
             return Quiet::Wait;
         }
         let since_first_ms = asked_ms.saturating_sub(times.first_ms);
         if silence::is_put_out(life.sighting(self.job.id()), since_first_ms) {
-            return self.hand_over(worker, "engine put the run out of memory").await;
+            return self.hand_over(worker, "engine preempted the run").await;
         }
         let patience = self.patience();
         let is_at_prompts = life.is_reading();
@@ -166,14 +166,15 @@
             frame = body.frame() => Quiet::Frame(frame),
             () = caller_left(&mut self.head, &self.body) => Quiet::Leave(Outcome::CallerLeft),
             () = until(&traffic, stuck_ms) => {
-                self.hand_over(worker, "engine makes no events").await
+                self.hand_over(worker, "engine sends no events").await
             }
         }
     }
 
-    /// Has the engine with the copy go on with the run, and leaves this one, which lives, only when
-    /// the other has taken it: a copy may never have come about for want of room, and engines may be
-    /// too full to take the run anew, so that a run that had left was cut.
+    /// Has the engine with the copy take over the run. The run leaves its present engine, which is
+    /// alive, only once the other has taken it: a copy may never have been made for lack of memory,
+    /// and engines may be too full to process the prompt again, so that a run that had left would
+    /// be truncated.
     async fn hand_over(&mut self, worker: &Rc<Worker>, why: &'static str) -> Quiet {
         if !self.leaves(self.sent) {
             return Quiet::Wait;
@@ -189,13 +190,13 @@
         let id = &worker.upstream.id;
         let Ok(Ok(opened)) = opened else {
             self.here = here;
-            slog::warn!(self.traffic.log, "no engine took the run; it stays";
+            slog::warn!(self.traffic.log, "handover failed; the run stays at its engine";
                 "request" => self.job.id(), "upstream" => &**id, "why" => why,
                 "asked" => &*copy.worker.upstream.id, "quiet_ms" => quiet_ms);
             self.traffic.metrics.count("runs_not_taken");
             return Quiet::Wait;
         };
-        slog::warn!(self.traffic.log, "the run goes on elsewhere"; "request" => self.job.id(),
+        slog::warn!(self.traffic.log, "run handed over"; "request" => self.job.id(),
             "upstream" => &**id, "why" => why, "quiet_ms" => quiet_ms);
         self.traffic.metrics.count("runs_handed_over");
         self.may_have_run = true;
@@ -204,7 +205,7 @@
         Quiet::Moved(Box::new(opened))
     }
 
-    /// Passes one event on, if it is the next one.
+    /// Forwards one event, if it is the next in sequence.
     pub(super) async fn pass_on(&mut self, event: Event) -> Option<Outcome> {
         let now_ms = self.traffic.now_ms();
         if let (Some(id), Some(last)) = (event.id, self.last_event)
@@ -233,7 +234,7 @@
         }
         if let Some(lost_ms) = self.lost_ms.take() {
             let resume_ms = now_ms - lost_ms;
-            slog::info!(self.traffic.log, "went on"; "request" => self.job.id(),
+            slog::info!(self.traffic.log, "stream resumed"; "request" => self.job.id(),
                 "resume_ms" => resume_ms, "pause_ms" => now_ms - self.last_event_ms);
             self.job.record_time(&self.traffic.metrics, Time::Resume, resume_ms);
         }
--- a/src/gateway/traffic.rs
+++ b/src/gateway/traffic.rs
@@ -1,4 +1,4 @@
-//! What the traffic thread keeps: its upstreams, its budgets, its counters.
+//! State of the traffic thread: upstreams, retry budgets, latency statistics and metrics.
 
 mod budgets;
 mod endings;
@@ -48,63 +48,59 @@
 use crate::clock::Clock;
 use crate::log;
 
-/// The part of the answers that are no longer than what an engine's memory is reserved for: the few
-/// longer ones share what stays free there.
+/// Percentile of observed output lengths for which engine memory is reserved. The few longer
+/// outputs share the memory that stays free.
 const USUAL_OUTPUT: f64 = 0.9;
-/// Channels that each instance may keep beyond an even part, since load is never even.
+/// Channels per upstream that an instance may open beyond its even share, since load is never even.
 const CHANNEL_SLACK: u32 = 2;
 
-/// The state of the traffic thread.
+/// State of the traffic thread, which serves callers' requests.
 pub struct Traffic {
-    /// The settings.
     pub settings: Settings,
-    /// The wire.
+    /// The protocol spoken with callers and upstreams.
     pub dialect: Arc<dyn Dialect>,
-    /// What the control thread publishes.
+    /// What the control thread publishes to the traffic thread.
     pub shared: Arc<Shared>,
-    /// The clock.
     pub clock: Clock,
-    /// The log.
     pub log: slog::Logger,
-    /// Counters and histograms.
     pub metrics: Arc<Metrics>,
-    /// Requests whose answers are not complete.
+    /// Requests whose response is not complete.
     pub open: Cell<usize>,
-    /// Callers' connections.
+    /// Open connections from callers.
     pub connections: Cell<usize>,
-    /// The planned stop that is under way.
+    /// The planned stop in progress, if any.
     pub stop: Cell<Option<Stop>>,
-    /// Whether usage is reported.
+    /// Whether started requests are reported to usage accounting.
     reports_usage: bool,
-    /// Set when a planned stop gives its last answers.
+    /// Becomes true when a planned stop gives every unanswered request its final response.
     pub last_answers: watch::Sender<bool>,
-    /// A sum of what runs here, as it was at the last look.
+    /// Sum of the runs and tokens at all upstreams as of the last sweep.
     told_load: Cell<u64>,
     places: RefCell<BTreeMap<u64, Vec<Place>>>,
-    /// Tokens that streams made until they were complete, by service.
+    /// Output tokens of complete streams, by service.
     outputs: RefCell<BTreeMap<Arc<str>, Latencies>>,
     fleet: RefCell<Arc<Fleet>>,
-    /// Upstreams that said that they leave, as far as the workers know.
+    /// Upstreams known to be leaving, as last applied to `workers`.
     departures: RefCell<Departures>,
     workers: RefCell<BTreeMap<Arc<str>, Rc<Worker>>>,
     budgets: RefCell<BTreeMap<Arc<str>, Budget>>,
-    /// Services whose engines were asked what they keep.
+    /// Services whose engines have been queried for cached prompts since the start.
     recalled: RefCell<BTreeSet<Arc<str>>>,
     probes: RefCell<BTreeMap<Arc<str>, losses::Probe>>,
     second_probes: RefCell<BTreeMap<Arc<str>, losses::Probe>>,
-    /// Upstreams of which it is being found out whether their processes have ended.
+    /// Checks in progress whether an upstream's process has exited.
     endings: RefCell<BTreeMap<Arc<str>, endings::Check>>,
-    /// When an upstream last broke off under a request.
+    /// When an upstream last closed a connection during a request that may have crashed it.
     crashed_ms: Cell<Option<u64>>,
     losses: RefCell<Losses>,
     outages: RefCell<Outages>,
     latencies: RefCell<BTreeMap<Arc<str>, Latencies>>,
-    /// Microseconds to the first event for each token of the prompt, by service.
+    /// Microseconds from sending to the first event per prompt token, by service.
     first_events: RefCell<BTreeMap<Arc<str>, Latencies>>,
 }
 
 impl Traffic {
-    /// A thread that has served nothing yet.
+    /// Creates the state of a thread that has served nothing yet.
     pub fn new(
         settings: Settings,
         dialect: Arc<dyn Dialect>,
@@ -145,14 +141,14 @@
         })
     }
 
-    /// Whether a request that was read is taken, also by an instance that stops.
+    /// Whether this instance accepts a request; during a planned stop it accepts only some.
     pub fn takes(&self, job: &Job) -> bool {
         let now_ms = self.now_ms();
         self.stop.get().is_none_or(|stop| stop.takes(job.route.repeat, job.until_ms, now_ms))
     }
 
-    /// When the caller of a request should come back after a failure, where that follows from how
-    /// its service stands.
+    /// How long the caller should wait before it retries after a failure, if the state of the
+    /// service determines that.
     pub fn comes_back_ms(&self, job: &Job, failure: &Failure) -> Option<u64> {
         let left_ms = job.left_ms(self.now_ms());
         match failure {
@@ -169,7 +165,7 @@
         }
     }
 
-    /// Ends a request with a failure.
+    /// Logs and counts a failure, and returns the error response.
     pub fn refuse(&self, job: &Job, failure: &Failure, after_ms: Option<u64>) -> Answer {
         slog::warn!(self.log, "refused"; "request" => job.id(), "route" => &*job.route.name,
             "status" => failure.status(), "why" => %failure,
@@ -181,7 +177,7 @@
         answer::failed(failure, after_ms)
     }
 
-    /// Notes that a request began to run at a time; each counts once, however often it is sent.
+    /// Records that a request started to run. A request counts once, however often it is sent.
     pub fn note_begun(&self, job: &Job, began_ms: u64) {
         let Some(organisation) = &job.organisation else { return };
         if self.reports_usage && !job.has_begun.replace(true) {
@@ -189,13 +185,14 @@
         }
     }
 
-    /// Notes how long an attempt at a repeatable route took, answered or not.
+    /// Records the duration of an attempt on an idempotent route, whether or not it was answered.
     pub fn note_latency(&self, job: &Job, value_ms: u64) {
         let mut latencies = self.latencies.borrow_mut();
         latencies.entry(Arc::clone(&job.route.name)).or_default().record(value_ms);
     }
 
-    /// Notes how long the first event of a prompt took to come, or was waited for in vain.
+    /// Records how long the first event took, or for how long it was awaited before the attempt was
+    /// abandoned.
     pub fn note_first_event(&self, job: &Job, waited_ms: u64) {
         let waited_us = waited_ms * 1_000;
         let Some(us_per_token) = waited_us.checked_div(job.demand.prompt_tokens) else { return };
@@ -203,8 +200,9 @@
         known.entry(Arc::clone(&job.service)).or_default().record(us_per_token);
     }
 
-    /// What a request needs of an engine. Callers name the most that they take, and most answers are
-    /// shorter, so what others made counts once enough is known.
+    /// Capacity that a request needs of an engine. Callers declare the most output tokens they
+    /// accept and most outputs are shorter, so the output lengths observed for the service apply
+    /// once there are enough of them.
     pub fn need(&self, job: &Job) -> Need {
         let Demand { prompt_tokens, output_tokens, .. } = job.demand;
         let outputs = self.outputs.borrow();
@@ -213,7 +211,7 @@
         Need { prompt_tokens, output_tokens }
     }
 
-    /// Notes how many events a stream had when it was complete.
+    /// Records the length of a complete stream.
     pub fn note_output(&self, job: &Job, events: u64) {
         let view = self.shared.view.load();
         let service = view.config.as_ref().and_then(|all| all.services.get(&job.service));
@@ -223,7 +221,7 @@
         outputs.entry(Arc::clone(&job.service)).or_default().record(events * event_tokens);
     }
 
-    /// After which time the first event of a prompt is overdue, after so many attempts.
+    /// How long after sending the first event is overdue, after `attempts` earlier attempts.
     pub fn overdue_ms(&self, job: &Job, attempts: u32) -> u64 {
         let mut known = self.first_events.borrow_mut();
         let known = known.entry(Arc::clone(&job.service)).or_default();
@@ -231,26 +229,26 @@
         silence::overdue_ms(known, job.demand.prompt_tokens, objective_ms, attempts)
     }
 
-    /// How long a repeatable call may be silent before it is sent to a second upstream.
+    /// How long an idempotent call may go unanswered before it is also sent to a second upstream.
     pub fn hedge_after_ms(&self, job: &Job) -> Option<u64> {
         let mut latencies = self.latencies.borrow_mut();
         let known = latencies.entry(Arc::clone(&job.route.name)).or_default();
         hedge::after_ms(known, job.route.target_latency_ms)
     }
 
-    /// Waits until a planned stop gives its last answers, which may be never.
+    /// Completes when a planned stop gives the final responses; never, if there is no stop.
     pub async fn gives_last_answers(&self) {
         let mut last_answers = self.last_answers.subscribe();
-        // The sender lives as long as this.
+        // Never fails, since `self` keeps the sender alive.
         let _ = last_answers.wait_for(|is_now| *is_now).await;
     }
 
-    /// Milliseconds since the start.
+    /// Milliseconds since the process started.
     pub fn now_ms(&self) -> u64 {
         self.clock.now_ms()
     }
 
-    /// The newest picture; the upstreams follow it.
+    /// The current view. Changes of its upstreams are applied to the workers first.
     pub fn view(&self) -> Arc<View> {
         let view = self.shared.view.load_full();
         let is_fleet_new = !Arc::ptr_eq(&view.fleet, &self.fleet.borrow());
@@ -288,32 +286,33 @@
         *self.fleet.borrow_mut() = Arc::clone(fleet);
     }
 
-    /// Leaves an incarnation that another one followed under the same id: nothing of what it held
-    /// is there any more.
+    /// Marks the former incarnation of a restarted upstream as lost: its runs, copies and cached
+    /// prompts no longer exist.
     fn retire(&self, worker: &Worker) {
-        slog::info!(self.log, "upstream born again"; "upstream" => &*worker.upstream.id);
+        slog::info!(self.log, "upstream restarted"; "upstream" => &*worker.upstream.id);
         worker.replace();
         worker.lost(self.now_ms());
         self.forget_places(|place| place.upstream == worker.upstream.id);
     }
 
-    /// The upstream with an id, if it is there.
+    /// The upstream with this id, if it is known.
     pub fn worker(&self, id: &str) -> Option<Rc<Worker>> {
         self.workers.borrow().get(id).map(Rc::clone)
     }
 
-    /// Whether an upstream may get work.
+    /// Whether an upstream may receive new requests.
     pub fn takes_work(&self, id: &str) -> bool {
         self.view();
         self.worker(id).is_some_and(|worker| worker.takes_work())
     }
 
-    /// The best upstream of a service for a request.
+    /// Chooses the best upstream of a service for a request.
     pub fn choose(&self, service: &str, constraints: &Constraints) -> Option<Rc<Worker>> {
         self.choose_for(service, constraints, &[])
     }
 
-    /// The best upstream of a service for a request with a prompt.
+    /// Chooses the best upstream of a service for a request with a prompt, taking into account
+    /// which engines have its prefixes cached.
     pub fn choose_for(
         &self,
         service: &str,
@@ -345,20 +344,20 @@
         Some(Rc::clone(fitting[index?]))
     }
 
-    /// How many channels this instance may have open to one upstream of a service.
+    /// How many channels this instance may open to one upstream of a service.
     pub fn channel_share(&self, service: &str) -> u32 {
         let view = self.shared.view.load();
         let all = view.config.as_ref().and_then(|config| config.services.get(service));
         let all = all.map_or(u32::MAX, |service| service.max_channels);
-        // One in ten stays free: others may know of more or fewer instances.
+        // One in ten stays unused: other instances may count more or fewer instances than this one.
         (all - all / 10) / view.holders(service).max(1) + CHANNEL_SLACK
     }
 
-    /// Makes a call of this system's own to an engine; its status and body.
+    /// Sends an engine a request of the gateway itself; returns the status and the body.
     ///
     /// # Errors
     ///
-    /// Any, if no whole answer came.
+    /// Fails if no complete response arrives.
     pub async fn ask(
         &self,
         worker: &Rc<Worker>,
@@ -384,13 +383,13 @@
         Ok((status, body))
     }
 
-    /// Has peers hear at once what runs here and what was lost.
+    /// Sends peers an update at once: the current load and lost upstreams.
     pub fn tell_peers(&self) {
         self.note_own();
         self.shared.news.notify_one();
     }
 
-    /// Has peers hear of what has ended since the last look.
+    /// Sends peers an update if the load changed since the last sweep.
     fn tell_what_ended(&self) {
         let tokens = |worker: &Worker| worker.pending_tokens.get() + worker.reserved_tokens.get();
         let load = |worker: &Worker| u64::from(worker.runs.get()) + tokens(worker);
@@ -402,7 +401,8 @@
         }
     }
 
-    /// Notes what runs here and what was lost, for the next message.
+    /// Refreshes what the next update to peers contains: load, lost upstreams, cache locations and
+    /// retry counts.
     fn note_own(&self) {
         let mut own = Own::default();
         let places = self.places.borrow();
@@ -429,7 +429,8 @@
         self.shared.set_own(own);
     }
 
-    /// What the engines of a service are doing, as far as known.
+    /// How many engines of a service accept work, and how many of them are processing prompts, as
+    /// far as known.
     pub fn load_of(&self, service: &str) -> Load {
         let workers = self.workers.borrow();
         let now_ms = self.now_ms();
@@ -443,14 +444,14 @@
         Load { engines: engines().count(), reading: reading.count() }
     }
 
-    /// How many prompts an engine is reading, as far as known.
+    /// How many prompts of all instances an engine is processing (prefill), as far as known.
     pub fn reading_at(&self, worker: &Worker) -> u64 {
         let view = self.shared.view.load();
         let others = view.others.get(&worker.upstream.id).map_or(0, |held| held.reading);
         u64::from(worker.reading.get() + others)
     }
 
-    /// What is known of an upstream's load, for logs.
+    /// What is currently known of an upstream's load, for logs and for the placement of copies.
     pub fn standing(&self, worker: &Worker) -> Candidate {
         self.candidate(worker, &self.shared.view.load(), self.now_ms())
     }
@@ -486,8 +487,8 @@
         }
     }
 
-    /// Closes what was idle too long, and asks upstreams that others lost and that have work or
-    /// copies of ours.
+    /// Closes idle channels, removes expired cache locations, and probes suspected upstreams that
+    /// hold runs or copies of this instance.
     pub fn sweep(self: &Rc<Traffic>) {
         let view = self.view();
         let now_ms = self.now_ms();
--- a/src/gateway/traffic/budgets.rs
+++ b/src/gateway/traffic/budgets.rs
@@ -1,4 +1,4 @@
-//! The retry budgets of this instance, one a service, with what the others told.
+//! Retry budgets of this instance, one per service, including what other instances reported.
 
 use std::sync::Arc;
 
@@ -9,7 +9,7 @@
 use super::Traffic;
 
 impl Traffic {
-    /// Counts a request to a service.
+    /// Counts a caller's request to a service.
     pub fn note_request(&self, service: &Arc<str>) {
         let bound = self.bound(service);
         let now_ms = self.now_ms();
@@ -17,7 +17,7 @@
         budgets.entry(Arc::clone(service)).or_default().request(bound, now_ms);
     }
 
-    /// Takes one repeat to a service, if the bound allows it.
+    /// Takes one retry from a service's budget, if its bound allows that.
     pub fn may_repeat(&self, service: &Arc<str>) -> bool {
         let bound = self.bound(service);
         let now_ms = self.now_ms();
@@ -25,7 +25,7 @@
         budgets.entry(Arc::clone(service)).or_default().repeat(bound, now_ms)
     }
 
-    /// Whether the bound allows a repeat to a service now.
+    /// Whether a service's budget allows a retry now.
     pub fn has_repeat(&self, service: &Arc<str>) -> bool {
         let bound = self.bound(service);
         let now_ms = self.now_ms();
@@ -33,9 +33,10 @@
         budgets.entry(Arc::clone(service)).or_default().has_repeat(bound, now_ms)
     }
 
-    /// Requests to a service that other instances place before the news of them arrive here, as far as
-    /// what came in the window tells. Repeats don't count: most of them go where their copies lie. Nor
-    /// do calls without a prompt, which end before any news of them could arrive.
+    /// Expected number of requests to a service that other instances place before this one receives
+    /// their load updates, estimated from their reports for the budget window. Retries don't count,
+    /// since most of them go to the engine with the run's copy; nor do calls without a prompt,
+    /// which end before any update could arrive.
     pub(super) fn unseen(&self, view: &View, service: &str, need: Need) -> f64 {
         let sent = view.sent.get(service).filter(|_| need.prompt_tokens > 0);
         let window_ms = self.settings.repeat_window_ms.max(1);
--- a/src/gateway/traffic/losses.rs
+++ b/src/gateway/traffic/losses.rs
@@ -1,4 +1,4 @@
-//! Asking upstreams whether they live, and what follows when they don't.
+//! Liveness probes of upstreams, and the handling of lost ones.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -19,40 +19,42 @@
 use super::super::worker::Worker;
 use super::Traffic;
 
-/// How long an engine's state may take to arrive: it needs no slot, so it comes in a round trip,
-/// and a resumption has to fit into the rest of the allowed pause.
+/// How long an engine may take to return its state. The query needs no slot, so it takes one round
+/// trip, and resuming elsewhere has to fit into the rest of the allowed gap between events.
 const STATE_TIMEOUT_MS: u64 = 130;
-/// How late a timer may fire before this process suspects itself of having stood still: a tenth of
-/// a second at most where processor time is a quota, some ten milliseconds on a busy core.
+/// How late a timer may fire before this process assumes that it was stalled itself. Timers are
+/// late by up to a tenth of a second under a CPU quota, and by some ten milliseconds on a busy
+/// core.
 pub(in super::super) const OWN_LAG_MS: u64 = 60;
-/// How long it may take when it is asked once more for runs that have no copy: three times as long.
-/// They lose no more than that against the second that reading their prompts anew takes.
+/// Timeout of the second probe, for runs without a copy: three times the first. Waiting costs them
+/// no more than that, while processing their prompts again takes a second.
 const SECOND_TIMEOUT_MS: u64 = 3 * STATE_TIMEOUT_MS;
-/// How often the question is asked at the most; the second time only after such a standstill.
+/// Maximum number of state queries per probe. The second is sent only if this process was stalled
+/// or the connection was reset.
 const STATE_TRIES: u32 = 2;
 
-/// What an engine was found to be when it was asked.
+/// Result of a liveness probe.
 #[derive(Debug, Clone, derive_more::Display)]
 pub enum Life {
-    /// It is gone or silent.
+    /// Gone or not responding.
     #[display("lost")]
     Lost,
-    /// It lives, and this is what it told; nothing if only its events came.
+    /// Alive, with the state it reported; the default state if only events of its runs arrived.
     #[display("{_0}")]
     Lives(Arc<EngineState>),
-    /// It resets the question's connections, as a full one does with those beyond its bound: that
-    /// says nothing of its runs, which break by themselves if it is gone.
+    /// The probe's connections were reset, as a full engine does with those beyond its limit. That
+    /// says nothing about its runs, which fail by themselves if the engine is gone.
     #[display("connections are reset")]
     Unasked,
 }
 
 impl Life {
-    /// Whether it works on prompts, as far as it tells.
+    /// Whether the engine reports requests that wait or whose prompts are being processed.
     pub fn is_reading(&self) -> bool {
         matches!(self, Life::Lives(state) if state.unstarted() > 0)
     }
 
-    /// What it says of a run.
+    /// What the engine reports about a run.
     pub fn sighting(&self, id: &str) -> Sighting {
         let Life::Lives(state) = self else { return Sighting::Untold };
         let Some(runs) = &state.runs else { return Sighting::Untold };
@@ -64,12 +66,12 @@
     }
 }
 
-/// A question under way, which serves all who ask meanwhile.
+/// A probe in progress, shared by all runs that wait for its result.
 pub(super) type Probe = watch::Receiver<Option<Life>>;
 
 impl Traffic {
-    /// Asks an engine for its state, to learn whether it lives and what becomes of its runs; one
-    /// question at a time serves all.
+    /// Queries an engine's state to learn whether it is alive and what it reports about its runs.
+    /// All who probe an engine at the same time share one query.
     pub async fn life(self: &Rc<Traffic>, worker: &Rc<Worker>) -> Life {
         if !Mechanism::Question.is_on() {
             return Life::Lives(Arc::default());
@@ -81,9 +83,9 @@
         answered.map_or(Life::Lost, |answer| answer.clone().unwrap_or(Life::Lost))
     }
 
-    /// Whether an engine that did not tell its state in time doesn't in a longer one either. A run that
-    /// has no copy elsewhere would read its prompt anew for a second, so it asks once more before it
-    /// leaves: a full engine may be late with its state, and others that are as full refuse the run.
+    /// Whether a second probe with a longer timeout fails, too. A run without a copy would have its
+    /// prompt processed again for about a second, so it confirms the loss before it leaves: a full
+    /// engine may be late with its state, and others that are as full refuse the run.
     pub async fn is_surely_lost(self: &Rc<Traffic>, worker: &Rc<Worker>) -> bool {
         let id = Arc::clone(&worker.upstream.id);
         let running = self.second_probes.borrow().get(&id).cloned();
@@ -107,7 +109,7 @@
                 Ok(Err(Fault::Refused | Fault::Unreachable { .. })) | Err(_) => Life::Lost,
                 Ok(Err(_)) => Life::Unasked,
             };
-            slog::info!(traffic.log, "engine asked once more whether it lives";
+            slog::info!(traffic.log, "second liveness probe completed";
                 "upstream" => &*id, "lives" => matches!(life, Life::Lives(_)));
             if let Life::Lives(state) = &life {
                 traffic.note_life(&worker, state);
@@ -126,11 +128,11 @@
         tokio::task::spawn_local(async move {
             let life = traffic.shows_life(&worker).await;
             traffic.probes.borrow_mut().remove(&id);
-            slog::info!(traffic.log, "engine asked whether it lives"; "upstream" => &*id,
+            slog::info!(traffic.log, "liveness probe completed"; "upstream" => &*id,
                 "lives" => matches!(life, Life::Lives(_)));
             match &life {
                 Life::Lives(state) => traffic.note_life(&worker, state),
-                Life::Lost => traffic.lost(&worker, "its state can't be read"),
+                Life::Lost => traffic.lost(&worker, "its liveness probe failed"),
                 Life::Unasked => {}
             }
             tell.send_replace(Some(life));
@@ -138,7 +140,7 @@
         answer
     }
 
-    /// Takes in what an engine told: that it lives, or that it was born again since it was listed.
+    /// Records that an engine is alive, or that it has restarted since it was listed.
     fn note_life(&self, worker: &Worker, state: &EngineState) {
         let listed = worker.upstream.born_ms;
         if matches!((listed, state.born_ms), (Some(listed), Some(born)) if born > listed) {
@@ -147,9 +149,9 @@
         worker.answered(self.now_ms());
     }
 
-    /// Whether an engine shows that it lives: it tells its state in time, or makes events of any
-    /// run meanwhile. A full engine is late with its state, and this instance may have no
-    /// connection left to ask over; the runs there must not leave it for that.
+    /// Probes an engine; an event received from any of its runs meanwhile also shows that it is
+    /// alive. A full engine is late with its state, and this instance may have no connection left
+    /// for the query; runs must not leave the engine because of that.
     async fn shows_life(&self, worker: &Rc<Worker>) -> Life {
         match self.told_state(worker).await {
             Life::Lost if worker.is_heard(STATE_TIMEOUT_MS, self.now_ms()) => {
@@ -159,8 +161,8 @@
         }
     }
 
-    /// What an engine tells of its state; asked again if this process itself was late, or if the
-    /// connection was reset, which a kept one may be by its age.
+    /// Queries an engine's state. Repeats the query if this process was stalled meanwhile, or if
+    /// the connection was reset, which may happen to a reused one because of its age.
     async fn told_state(&self, worker: &Rc<Worker>) -> Life {
         let limit = Duration::from_millis(STATE_TIMEOUT_MS);
         let mut told = Life::Lost;
@@ -179,14 +181,15 @@
         told
     }
 
-    /// Any answer is a sign of life; one that is no state tells nothing.
+    /// Any response shows that the engine is alive; one that is no valid state counts as the
+    /// default.
     async fn ask_state(&self, worker: &Rc<Worker>) -> Result<EngineState, Fault> {
         let path = self.dialect.state_path();
         let (_, body) = self.ask(worker, Method::GET, path, Bytes::new()).await?;
         Ok(self.dialect.engine_state(&body).unwrap_or_default())
     }
 
-    /// Notes that an upstream is gone or silent, and tells peers at once.
+    /// Marks an upstream as gone or not responding, and notifies peers at once.
     pub fn lost(&self, worker: &Worker, why: &str) {
         let now_ms = self.now_ms();
         let is_new = !worker.is_lost(now_ms);
@@ -202,23 +205,23 @@
             "domain" => &*worker.upstream.domain, "why" => why);
     }
 
-    /// Notes that another life has an upstream's address: this one gets nothing more, however long
-    /// the list still names it, and peers are told for as long.
+    /// Marks an upstream as replaced because another incarnation has its address. However long the
+    /// directory still lists it, it receives nothing more and peers are told that it is lost.
     pub fn replaced(&self, worker: &Worker) {
         worker.replace();
-        self.lost(worker, "another one has its address");
+        self.lost(worker, "another upstream has its address");
     }
 
-    /// Notes that no connection to an upstream came about.
+    /// Records that no connection to an upstream could be opened.
     pub fn no_channel(&self, worker: &Worker, fault: &channel::Fault) {
         match fault {
-            channel::Fault::Refused => self.lost(worker, "nothing listens there"),
-            channel::Fault::Unreachable { .. } => self.lost(worker, "no connection in time"),
+            channel::Fault::Refused => self.lost(worker, "connection refused"),
+            channel::Fault::Unreachable { .. } => self.lost(worker, "connection timed out"),
             _ => worker.broke(self.now_ms()),
         }
     }
 
-    /// Takes in the losses that others told, as signs for the failure domains.
+    /// Takes in the losses that peers reported; they count towards correlated losses.
     pub(super) fn hear_losses(
         &self,
         view: &View,
@@ -234,15 +237,15 @@
         }
     }
 
-    /// Whether an upstream was lost or broke off since it last showed that it lives, as this
-    /// instance or a peer found.
+    /// Whether an upstream was lost or closed a connection since it last showed that it is alive,
+    /// as observed here or reported by a peer.
     pub fn is_lost(&self, worker: &Worker, now_ms: u64) -> bool {
         worker.is_replaced()
             || worker.is_suspect(now_ms)
             || self.losses.borrow().is_lost(subject(worker))
     }
 
-    /// Notes whether all upstreams of a service are lost or gone.
+    /// Records an outage if all upstreams of a service are lost or gone; returns whether they are.
     fn note_if_down(&self, service: &Arc<str>) -> bool {
         let now_ms = self.now_ms();
         let workers = self.workers.borrow();
@@ -256,7 +259,8 @@
         true
     }
 
-    /// When a caller that has `left_ms` should come back to a service that has no upstream.
+    /// How long a caller with `left_ms` until its deadline should wait before it retries, if the
+    /// service has no upstream.
     pub fn retry_after_ms(&self, service: &Arc<str>, left_ms: u64) -> Option<u64> {
         if !self.note_if_down(service) || !Mechanism::RetryAfter.is_on() {
             return None;
@@ -265,7 +269,8 @@
         self.outages.borrow().retry_after_ms(service, left_ms, self.now_ms(), &mut random)
     }
 
-    /// Whether an upstream was lost, or so much of its failure domain that it is likely.
+    /// Whether an upstream was lost, or is suspected because of correlated losses in its failure
+    /// domain.
     pub fn is_doubtful(&self, worker: &Worker, now_ms: u64) -> bool {
         let is_falling = || {
             Mechanism::Doubt.is_on()
--- a/src/gateway/traffic/places.rs
+++ b/src/gateway/traffic/places.rs
@@ -1,4 +1,5 @@
-//! Which engine read a prompt, so that whoever comes back finds it in memory.
+//! Cache locations: which engines hold a prompt in memory, so that a caller that reconnects is sent
+//! to one of them.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -16,22 +17,22 @@
 use super::super::worker::Worker;
 use super::Traffic;
 
-/// How long it is known which engine read a prompt: its memory keeps the prompt for about as long.
+/// How long a cache location is remembered; engines keep a prompt in memory for about as long.
 const PLACE_MS: u64 = 12_000;
-/// How many times smaller than its prompt a shared part may be to be worth finding: what is smaller
-/// saves less time than its news would cost.
+/// How many times smaller than its prompt a shared prefix may be for its cache location to be
+/// recorded. Smaller ones save less time than the updates to peers would cost.
 const LEAST_SHARED: u64 = 8;
-/// How long after its start an instance may ask engines what they keep: callers that come back
-/// later than that have waited too long anyway.
+/// How long after its start an instance may query engines for cached prompts. Callers that
+/// reconnect later than that have waited too long already.
 const RECALL_WITHIN_MS: u64 = 8_000;
-/// How long a caller that goes on waits for the address of the engine that holds its prompt: a few round
-/// trips between failure domains.
+/// How long a reconnecting caller's request waits for the address of the engine that has its prompt
+/// cached: a few round trips between failure domains.
 const FIND_MS: u64 = 100;
-/// How often a caller that waits for the place of its prompt looks: a few times in a round trip
-/// between failure domains and the news that follows it.
+/// Poll interval of a request that waits for a cache location: a few polls in a round trip between
+/// failure domains and the update that follows it.
 const LOOK_MS: u64 = 10;
 
-/// Where a prompt was read.
+/// An engine that holds a prompt prefix.
 #[derive(Debug, Clone)]
 pub(super) struct Place {
     pub(super) upstream: Arc<str>,
@@ -39,7 +40,7 @@
 }
 
 impl Traffic {
-    /// Notes that an engine reads or holds a part of a prompt.
+    /// Records that an engine processes or holds a prompt prefix.
     fn note_place(&self, part: u64, worker: &Worker) {
         let until_ms = self.now_ms() + PLACE_MS;
         let upstream = Arc::clone(&worker.upstream.id);
@@ -49,8 +50,9 @@
         known.push(Place { upstream, until_ms });
     }
 
-    /// Notes that an engine reads a prompt: its last part, by which its caller finds it again, and
-    /// the shared ones that are worth finding for others.
+    /// Records that an engine processes a prompt: its last prefix, by which a reconnecting caller
+    /// finds the engine again, and those shared prefixes that are large enough to help other
+    /// requests.
     pub fn note_prompt(&self, demand: &Demand, worker: &Worker) {
         let Some((last, shared)) = demand.prompt_parts.split_last() else { return };
         let is_worth = |part: &&PromptPart| part.tokens * LEAST_SHARED >= demand.prompt_tokens;
@@ -59,7 +61,7 @@
         }
     }
 
-    /// Forgets places.
+    /// Removes the cache locations for which `is_over` holds.
     pub(super) fn forget_places(&self, is_over: impl Fn(&Place) -> bool) {
         self.places.borrow_mut().retain(|_, places| {
             places.retain(|place| !is_over(place));
@@ -67,15 +69,16 @@
         });
     }
 
-    /// The engine that held a prompt last, as far as this instance or a peer knows.
+    /// The engine that last held a prompt prefix, as far as this instance or a peer knows.
     pub fn place_of(&self, part: u64) -> Option<Rc<Worker>> {
         let view = self.shared.view.load();
         let id = self.places_of(part, &view).pop()?;
         self.worker(&id)
     }
 
-    /// Waits a moment for an engine that held a prompt last, where this instance knows only its id since
-    /// it holds a part of its service: it asks for the rest.
+    /// Waits briefly for the entry of the engine that last held a prompt prefix. An instance that
+    /// holds only a part of a large service's upstreams may know just the engine's id; it requests
+    /// the entry.
     pub async fn find_place(&self, service: &str, part: u64) {
         let view = self.shared.view.load();
         let last = self.places_of(part, &view).pop();
@@ -95,7 +98,8 @@
         }
     }
 
-    /// The engines that read a part of a prompt; the last one that this instance knows of is last.
+    /// The engines that hold a prompt prefix: those that peers reported, then those recorded here,
+    /// each in the order of the records.
     fn places_of(&self, part: u64, view: &View) -> Vec<Arc<str>> {
         let mut engines: Vec<Arc<str>> = view.places.of(part).cloned().collect();
         if let Some(own) = self.places.borrow().get(&part) {
@@ -104,8 +108,9 @@
         engines
     }
 
-    /// How many tokens of a prompt each engine keeps, as far as known. A part counts only if those
-    /// before it are kept there too; parts too small to be told don't count and break nothing.
+    /// How many tokens of a prompt each engine has cached, as far as known. A part of the prompt
+    /// counts only if those before it are cached at the same engine; parts too small to be reported
+    /// are skipped.
     pub(super) fn kept(&self, prompt: &[PromptPart], view: &View) -> BTreeMap<Arc<str>, u64> {
         let mut kept: BTreeMap<Arc<str>, u64> = BTreeMap::new();
         let mut is_first = true;
@@ -128,21 +133,21 @@
         kept
     }
 
-    /// How many tokens of a prompt one engine keeps, as far as known.
+    /// How many tokens of a prompt one engine has cached, as far as known.
     pub fn kept_tokens(&self, demand: &Demand, worker: &Worker) -> u64 {
         let view = self.shared.view.load();
         let kept = self.kept(&demand.prompt_parts, &view);
         kept.get(&worker.upstream.id).copied().unwrap_or(0)
     }
 
-    /// Whether this instance has started lately and nobody knows which engine holds a prompt: all
-    /// instances were lost at once. That others have told of prompts says nothing of this one, since
-    /// they read new ones meanwhile.
+    /// Whether this instance has started recently and nobody knows which engine holds a prompt,
+    /// which means that all instances were lost at once. Cache locations of other prompts that
+    /// peers report don't count, since peers have new prompts processed meanwhile.
     pub fn has_forgotten(&self, part: u64) -> bool {
         self.now_ms() <= RECALL_WITHIN_MS && self.place_of(part).is_none()
     }
 
-    /// Waits a moment until it is known which engine holds a prompt, and asks engines meanwhile.
+    /// Waits briefly until it is known which engine holds a prompt, and queries engines meanwhile.
     pub async fn recall(self: &Rc<Traffic>, service: &str, part: u64) {
         let started_ms = self.now_ms();
         let is_asked = self.recalled.borrow().contains(service);
@@ -156,7 +161,8 @@
         }
     }
 
-    /// Asks this instance's share of the engines of a service what they keep, and tells peers.
+    /// Queries this instance's share of a service's engines for the prompts they have cached, and
+    /// sends peers the result.
     async fn ask_kept(self: Rc<Traffic>, service: Arc<str>) {
         let instances = self.shared.view.load().holders(&service);
         let now_ms = self.now_ms();
@@ -187,7 +193,7 @@
                 self.note_place(PromptPart::hash(&part), &worker);
             }
         }
-        slog::info!(self.log, "asked engines what they keep"; "service" => &*service,
+        slog::info!(self.log, "queried engines for cached prompts"; "service" => &*service,
             "parts" => parts);
         self.tell_peers();
     }
--- a/src/gateway/traffic/quarantine.rs
+++ b/src/gateway/traffic/quarantine.rs
@@ -1,4 +1,4 @@
-//! What traffic asks of the quarantine, and what it reports to it.
+//! The traffic thread's side of the quarantine: it checks requests against it and reports crashes.
 
 use std::rc::Rc;
 
@@ -12,13 +12,14 @@
 use super::super::worker::Worker;
 use super::Traffic;
 
-/// How much later than a crash is judged its judgement has reached traffic here.
+/// How long after a verdict on a crash the traffic thread of this instance has received it.
 const TOLD_MS: u64 = 50;
-/// How long after a crash a request that goes on waits where that may decide on it.
+/// How long a request waits after a crash before it resumes, if the verdict may quarantine it.
 pub(in super::super) const JUDGED_MS: u64 = SETTLE_MS + TOLD_MS;
 
 impl Traffic {
-    /// How the request stands; without a fingerprint where none is known of.
+    /// What the quarantine knows of a request. Computes no fingerprint while the quarantine is
+    /// empty.
     fn suspect(&self, job: &Job) -> Option<Suspect> {
         let view = self.shared.view.load();
         if view.quarantine.is_empty() {
@@ -27,38 +28,39 @@
         view.quarantine.get(&job.fingerprint()).copied()
     }
 
-    /// For how long the request is still quarantined, if it is.
+    /// How long the request is still quarantined, if it is.
     pub fn quarantine_left_ms(&self, job: &Job) -> Option<u64> {
         let until_ms = self.suspect(job)?.until_ms?;
         until_ms.checked_sub(self.now_ms()).filter(|left_ms| *left_ms > 0)
     }
 
-    /// Waits until the request is quarantined, which may be never.
+    /// Completes when the request is quarantined, which may never happen.
     pub async fn is_quarantined(&self, job: &Job) {
         let mut changed = self.shared.quarantined.subscribe();
         while self.quarantine_left_ms(job).is_none() {
             if changed.changed().await.is_err() {
-                // The sender lives as long as this.
+                // `self` keeps the sender alive.
                 return std::future::pending().await;
             }
         }
     }
 
-    /// Refuses a request that is quarantined, of which nothing was sent anywhere.
+    /// Refuses a quarantined request that was not sent to any upstream.
     pub fn refuse_quarantined(&self, job: &Job) -> Answer {
         let failure = Failure::Quarantined { fingerprint: job.fingerprint() };
         let after_ms = self.comes_back_ms(job, &failure);
         self.refuse(job, &failure, after_ms)
     }
 
-    /// Whether one more crash may quarantine a request, beside `points` of crashes that are not judged.
+    /// Whether one more crash may quarantine a request, given `points` of crashes that have no
+    /// verdict yet.
     pub fn may_be_quarantined(&self, job: &Job, points: u32) -> bool {
         let known = self.suspect(job).unwrap_or_default().points;
         quarantine::may_follow(known + points)
     }
 
-    /// Reports that an upstream broke off under a request, if its process turns out to have ended. One
-    /// that leaves ends as planned.
+    /// Reports that an upstream closed a connection during a request, if its process turns out to
+    /// have exited. One that is leaving exits as planned and is not reported.
     pub fn note_crash(
         self: &Rc<Traffic>,
         job: &Job,
@@ -87,7 +89,8 @@
         });
     }
 
-    /// Reports that a request was served, up to an event or completely, if anything is held against it.
+    /// Reports that a request was served, completely or up to an event, if crashes count against it
+    /// or await a verdict.
     pub fn note_served(&self, job: &Job, event: Option<u64>) {
         let has_unjudged = |at_ms| at_ms + JUDGED_MS > self.now_ms();
         if self.suspect(job).is_some() || self.crashed_ms.get().is_some_and(has_unjudged) {
--- a/src/gateway/traffic/signals.rs
+++ b/src/gateway/traffic/signals.rs
@@ -1,4 +1,4 @@
-//! What upstreams ask for in their answers, and what this instance makes of it.
+//! Handling of what upstreams announce in responses: load, backoff, rate limits and leaving.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,19 +13,20 @@
 use super::super::worker::Worker;
 use super::Traffic;
 
-/// How long the owner of an upstream's bucket may take to answer: a few round trips between failure
-/// domains. Whoever waits is served elsewhere meanwhile.
+/// How long the instance that owns an upstream's token bucket may take to answer a permit request:
+/// a few round trips between failure domains. A request without a permit goes to another upstream.
 const PERMIT_TIMEOUT_MS: u64 = 60;
-/// How long an upstream is throttled when its bucket's owner does not answer: it may have died, which
-/// is known within a second or two.
+/// How long an upstream is throttled if the owner of its bucket does not answer. The owner may have
+/// died, which is known within a second or two.
 const UNANSWERED_MS: u64 = 250;
-/// Over how much longer the callers are spread that were refused while upstreams were throttled.
+/// Range of the random delay that spreads the retries of callers that were refused because all
+/// upstreams were throttled.
 const COME_BACK_OVER_MS: u64 = 500;
 
 impl Traffic {
-    /// Takes in what an upstream's answer says of the upstream itself.
+    /// Processes what an upstream's response says about the upstream itself.
     pub fn note_signals(&self, worker: &Worker, status: u16, marks: &Marks) {
-        // Another one has the address and answers for itself.
+        // This response comes from another upstream at the address and describes that one.
         if status == 421 {
             return;
         }
@@ -38,30 +39,31 @@
             self.note_backoff(worker, after_ms);
         }
         if marks.rate_limit.is_none() {
-            self.set_rate_limit(worker, None, self.now_ms(), "its answer");
+            self.set_rate_limit(worker, None, self.now_ms(), "its response");
         }
         self.note_bounds(worker, marks);
     }
 
-    /// Takes in what an upstream no longer takes. That holds in an answer to another request as well, which
-    /// may be late: it lifts nothing.
+    /// Processes the limits that a response announces. They hold in a response to another request
+    /// as well; such a response may be old, so it lifts no limit.
     pub fn note_bounds(&self, worker: &Worker, marks: &Marks) {
         if marks.is_leaving && worker.note_said_leaving() {
-            self.log_leaving(worker, "its answer");
+            self.log_leaving(worker, "its response");
             self.shared.signal(Signal::Departure(Departure::of(&worker.upstream)));
         }
         if let Some(rate) = marks.rate_limit {
-            self.set_rate_limit(worker, Some(rate), self.now_ms(), "its answer");
+            self.set_rate_limit(worker, Some(rate), self.now_ms(), "its response");
             self.shared.signal(Signal::Rate(Arc::clone(&worker.upstream.id), rate));
         }
     }
 
     fn log_leaving(&self, worker: &Worker, by: &'static str) {
-        slog::info!(self.log, "upstream says that it leaves"; "upstream" => &*worker.upstream.id,
-            "service" => &*worker.upstream.service, "by" => by);
+        slog::info!(self.log, "upstream announced that it is leaving";
+            "upstream" => &*worker.upstream.id, "service" => &*worker.upstream.service,
+            "by" => by);
     }
 
-    /// Follows which upstreams said to any instance that they leave.
+    /// Applies which upstreams announced to any instance that they are leaving.
     pub(super) fn follow_departures(&self, departures: &Departures) {
         for worker in self.workers.borrow().values() {
             if departures.holds(&worker.upstream) && worker.note_said_leaving() {
@@ -75,13 +77,13 @@
     fn note_backoff(&self, worker: &Worker, after_ms: u64) {
         let now_ms = self.now_ms();
         if worker.back_off(now_ms.saturating_add(after_ms), now_ms) {
-            slog::info!(self.log, "upstream asks for backoff"; "upstream" => &*worker.upstream.id,
+            slog::info!(self.log, "upstream requested backoff"; "upstream" => &*worker.upstream.id,
                 "service" => &*worker.upstream.service, "for_ms" => after_ms);
             self.metrics.count("backoffs_requested");
         }
     }
 
-    /// Takes in the rate that an upstream named, as `by` told.
+    /// Records the rate limit that an upstream announced; `by` names the source in the log.
     fn set_rate_limit(&self, worker: &Worker, rate: Option<Rate>, at_ms: u64, by: &'static str) {
         let before = worker.set_rate_limit(rate, at_ms);
         let now = worker.rate_limit();
@@ -93,7 +95,7 @@
         }
     }
 
-    /// The rate that an upstream takes from all instances, as it or a peer told last.
+    /// The upstream's rate limit over all instances, as it or a peer last reported.
     fn rate_limit(&self, worker: &Worker) -> Option<Rate> {
         if let Some(named) = self.shared.view.load().named_rates.of(&worker.upstream.id) {
             self.set_rate_limit(worker, Some(named.rate), named.at_ms, "a peer");
@@ -101,8 +103,9 @@
         worker.rate_limit()
     }
 
-    /// Whether an upstream takes one more request now, which is then to be sent to it. One that limits
-    /// its rate is throttled until this instance's turn if it doesn't.
+    /// Whether a request may be sent to an upstream now; if so, the caller of this function has to
+    /// send it. An upstream with a rate limit that grants no permit is throttled until this
+    /// instance's turn.
     pub async fn admits(&self, worker: &Worker) -> bool {
         if worker.is_throttled(self.now_ms()) {
             return false;
@@ -126,13 +129,14 @@
         false
     }
 
-    /// When the caller of a request should come back to a service of which all upstreams are throttled:
-    /// not before one of them takes work again, and not all callers at once.
+    /// How long a caller should wait before it retries if all upstreams of a service are throttled:
+    /// until one of them accepts work again, plus a random delay so that callers don't return all
+    /// at once.
     pub(super) fn comes_back_to_throttled_ms(&self, service: &str) -> Option<u64> {
         Some(self.throttled_ms(service)? + fastrand::u64(..COME_BACK_OVER_MS))
     }
 
-    /// In what time an upstream of a service takes work again, if all of them are throttled.
+    /// How long until an upstream of a service accepts work again, if all of them are throttled.
     pub fn throttled_ms(&self, service: &str) -> Option<u64> {
         let now_ms = self.now_ms();
         let workers = self.workers.borrow();
--- a/tests/gateway/explain.rs
+++ b/tests/gateway/explain.rs
@@ -1,4 +1,4 @@
-//! From a request's id to its cause, by the log alone; and the log's bound under a flood.
+//! The log alone explains the outcome of a request by its id; and the log's bound under a flood.
 
 use siskinrock_fakes::caller;
 use siskinrock_fakes::engine;
@@ -34,14 +34,14 @@
     })
     .await;
     let lines = lines_of(&running, &id);
-    assert_eq!(messages(&lines), ["sent", "engine lost", "sent", "went on", "complete"]);
+    assert_eq!(messages(&lines), ["sent", "engine lost", "sent", "stream resumed", "complete"]);
     assert_eq!(lines[1]["upstream"], *engines[first].id);
     assert!(lines[1]["last_event"].is_u64() && lines[1]["why"].is_string());
     assert!(lines[3]["resume_ms"].is_u64());
 }
 
-/// Callers send a request again under another id: the log must show that it is the same one, and
-/// whether the upstream's process has ended or only a connection.
+/// Callers send a request again under another id. The log must show that it is the same one, and
+/// whether the upstream's process has exited or only a connection was closed.
 #[tokio::test]
 async fn a_request_that_comes_again_is_known_by_its_fingerprint() {
     let running = support::start(1).await;
@@ -91,7 +91,8 @@
     assert_eq!(lines[1]["status"], 503);
 }
 
-/// A caller with a wrong key asks why: the line names the request and the version that decided it.
+/// A caller with a wrong key asks why it was rejected: the log names the request and the
+/// configuration version that decided it.
 #[tokio::test]
 async fn a_rejected_request_is_found_by_its_id() {
     let running = support::start(1).await;
@@ -137,7 +138,7 @@
     }
 }
 
-/// A flood of refused requests grows the log by its bound at most, and the last failures are
+/// A flood of refused requests grows the log by no more than its bound, and the last failures are
 /// still explained.
 #[tokio::test]
 async fn a_flood_neither_blocks_nor_grows_the_log() {
--- a/tests/gateway/lost_instances.rs
+++ b/tests/gateway/lost_instances.rs
@@ -1,4 +1,4 @@
-//! Instances come, go, and are told apart.
+//! Instances that are killed, stopped or restarted.
 
 use siskinrock_fakes::caller;
 use siskinrock_fakes::http::Connection;
@@ -12,7 +12,7 @@
     let mut running = support::start(3).await;
     running.gateways[1].kill();
     let gone = running.front(1);
-    wait_for("its address is no longer told", async || {
+    wait_for("its address is no longer announced", async || {
         !running.gateways[0].addresses("-").await.contains(&gone)
     })
     .await;
@@ -20,7 +20,8 @@
     running.wait_until_ready().await;
 }
 
-/// A planned stop ends every request that was read, tells kept connections to close, and exits.
+/// A planned stop completes every request that was read, tells kept connections to close, and ends
+/// the process.
 #[tokio::test]
 async fn a_planned_stop_cuts_nothing() {
     let mut running = support::start(2).await;
@@ -33,7 +34,7 @@
     .await;
     let mut kept = Connection::new(TcpStream::connect(front).await.unwrap());
     running.gateways[0].signal(libc::SIGTERM);
-    wait_for("peers no longer tell its address", async || {
+    wait_for("peers no longer announce its address", async || {
         !running.gateways[1].addresses("-").await.contains(&front)
     })
     .await;
@@ -62,7 +63,7 @@
     assert!(running.gateways[0].logged().contains("settings read again"));
 }
 
-/// Starts a stream, and loses all instances while it runs; returns it and its engine.
+/// Starts a stream and kills all instances while it runs; returns the request and its engine.
 async fn lose_all_mid_stream(running: &mut Running) -> (caller::Call, usize) {
     let sent = plan();
     let reading = running.read_stream(&sent);
@@ -75,8 +76,9 @@
     (sent, first)
 }
 
-/// New prompts that an instance told its peers of were taken for knowledge of all, and the prompts
-/// of callers who went on were read anew: 210 streams at once on 75 instances.
+/// An instance took cache locations of new prompts, which a peer had reported, as a sign that no
+/// cache location was lost, so the prompts of callers that reconnected were processed again: 210
+/// streams at once on 75 instances.
 #[tokio::test]
 async fn new_prompts_say_nothing_of_where_the_old_ones_lie() {
     let mut landed = Vec::new();
@@ -94,7 +96,8 @@
     assert_eq!(landed, [true; 3]);
 }
 
-/// After the loss of all instances nobody knows where a prompt was read, so engines are asked.
+/// After the loss of all instances nobody knows the cache location of a prompt, so engines are
+/// queried.
 #[tokio::test]
 async fn a_caller_goes_on_where_its_prompt_lies_after_the_loss_of_all() {
     let mut running = support::start(2).await;
--- a/tests/gateway/silence.rs
+++ b/tests/gateway/silence.rs
@@ -77,7 +77,7 @@
     assert!(stream.is_complete);
     assert_eq!(stream.text, whole_text(&sent, 0));
     let logged = running.gateways[0].logged();
-    assert!(logged.contains("engine put the run out of memory"));
+    assert!(logged.contains("engine preempted the run"));
     let pause = logged.split("\"pause_ms\":").nth(1).and_then(|rest| rest.split([',', '}']).next());
     let pause_ms: u64 = pause.and_then(|pause| pause.parse().ok()).expect("the run went on");
     assert!(pause_ms < 600, "{pause_ms}");
@@ -96,7 +96,7 @@
     assert!(stream.is_complete);
     assert_eq!(stream.text, whole_text(&sent, 0));
     assert_eq!(running.site.engines[0].seen().len(), 1, "it was never sent anew");
-    assert!(running.gateways[0].logged().contains("engine asked once more whether it lives"));
+    assert!(running.gateways[0].logged().contains("second liveness probe completed"));
 }
 
 /// The engine of an answer is lost, and all others are full for a moment: asked without a pause, four
@@ -179,7 +179,7 @@
     engines.iter().for_each(|engine| engine.fail(Fault::Stuck));
     wait_for("runs have left their engines", async || {
         let logged = running.gateways[0].logged();
-        logged.matches("the run goes on elsewhere").count() >= MOVES
+        logged.matches("run handed over").count() >= MOVES
     })
     .await;
     engines.iter().for_each(|engine| engine.fail(Fault::None));
@@ -292,7 +292,7 @@
     let stream = reading.await.unwrap().unwrap();
     assert!(stream.is_complete);
     assert_eq!(stream.text, whole_text(&sent, 0));
-    assert!(running.gateways[0].logged().contains("upstream born again"));
+    assert!(running.gateways[0].logged().contains("upstream restarted"));
 }
 
 fn list_born(site: &Site, index: usize, born: u64) {
--- a/tests/gateway/streams.rs
+++ b/tests/gateway/streams.rs
@@ -1,4 +1,5 @@
-//! Streams outlive their engines: every event once, in order, from one request alone.
+//! Streams survive the loss of their engines: every event arrives once and in order, within one
+//! response.
 
 use std::time::{Duration, Instant};
 
@@ -19,8 +20,8 @@
     assert_eq!(stream.text, whole_text(&sent, 0));
 }
 
-/// The engine that runs it is lost in different ways; the caller sees one whole stream, from the
-/// first engine's head, and the run goes on from the copy.
+/// The engine fails in different ways during a run. The caller receives one complete stream, with
+/// the head of the first engine's response, and the run resumes from the copy.
 #[parameterized(
     torn = { Fault::Torn },
     dark = { Fault::Dark },
@@ -45,13 +46,13 @@
     assert_eq!(from_copy.filter(|seen| seen.from_copy).count(), 1);
 }
 
-/// Streams were cut whose events were still coming. Another request waited for its first event at
-/// the same engine, the engine was asked for its state, the question came to nothing (the engine was
-/// full, or no connection was left), and all runs there left at once, the last event 40 to 100 ms
-/// old. Many at a time used up the budget of repeats, and the rest was given up.
+/// Guards against the truncation of streams whose events are still arriving. Another request waits
+/// for its first event at the same engine, so the engine is probed, and the probe fails because the
+/// engine is full or no connection is free. All runs then left the engine at once, 40 to 100 ms
+/// after their last events; many at a time exhausted the retry budget, and the rest was given up.
 ///
-/// Evidence: `engine asked whether it lives` with `lives` false, `engine lost` with why `silent` and
-/// `quiet_ms` 40, `no repeat left in the budget`, `refused`.
+/// In the log: `liveness probe completed` with `lives` false, `engine lost` with why `silent` and
+/// `quiet_ms` 40, `retry budget exhausted`, `refused`.
 #[tokio::test]
 async fn a_stream_whose_events_come_stays_when_its_engine_does_not_tell_its_state() {
     let site = Site::start(1, 100).await;
@@ -69,11 +70,11 @@
     let stream = reading.await.unwrap().unwrap();
     assert!(stream.is_complete);
     assert_eq!(stream.text, whole_text(&sent, 0));
-    assert!(running.gateways[0].logged().contains("engine asked whether it lives"));
+    assert!(running.gateways[0].logged().contains("liveness probe completed"));
     assert_eq!(running.runs_of(&sent.id), 1);
 }
 
-/// Copies begin with the first event: before that, an attempt at the copy would only be refused.
+/// Copies start with the first event; before that, an attempt at the copy would only be refused.
 #[tokio::test]
 async fn a_stream_lost_before_its_first_event_does_not_look_for_a_copy() {
     let running = support::start(1).await;
@@ -106,8 +107,8 @@
     }
 }
 
-/// A copy's engine that is lost is replaced by a copy elsewhere, so that the next loss costs
-/// nothing either.
+/// When the engine that holds a copy is lost, a new copy is made elsewhere, so that the next loss
+/// costs nothing either.
 #[tokio::test]
 async fn a_lost_copy_is_replaced() {
     let site = siskinrock_fakes::site::Site::start(2, 120).await;
@@ -142,8 +143,8 @@
     running.wait_for_events(first).await;
     running.site.engines[first].fail(Fault::Torn);
     let stream = reading.await.unwrap().unwrap();
-    assert!(!stream.is_complete, "an answer that was cut must not look complete");
-    assert!(whole_text(&sent, 0).starts_with(&stream.text), "only whole events are passed on");
+    assert!(!stream.is_complete, "a truncated response must not look complete");
+    assert!(whole_text(&sent, 0).starts_with(&stream.text), "only whole events are forwarded");
     assert_eq!(running.runs_of(&sent.id), 1);
 }
 
@@ -155,8 +156,8 @@
     let first = working_engine(&running).await;
     running.wait_for_events(first).await;
     let mut running = running;
-    // Peers hear of a placement within milliseconds; the death comes later.
-    wait_for("a peer's beat has passed", async || {
+    // Peers receive a cache location within milliseconds; the instance is killed later.
+    wait_for("a peer has had time to receive it", async || {
         running.gateways[1].metrics().await.contains("siskinrock_open_requests")
     })
     .await;
@@ -169,7 +170,7 @@
     let engine = &running.site.engines[first];
     let is_same =
         engine.seen().iter().any(|seen| seen.request.header("x-request-id") == Some(&*again.id));
-    assert!(is_same, "the engine that read the prompt still has it in memory");
+    assert!(is_same, "the engine that processed the prompt still has it cached");
 }
 
 #[tokio::test]
@@ -192,14 +193,14 @@
     assert_eq!(seen.request.header("x-request-priority"), Some("2"));
 }
 
-/// Engines that crash while the store is silent come back as others that nobody lists; without
-/// looking for them, each crash leaves fewer.
+/// Engines that crash while the store is silent restart under ids that nobody lists. Unless they
+/// are searched for, each crash leaves fewer engines.
 #[tokio::test]
 async fn engines_that_came_back_are_found_while_the_store_is_silent() {
     let running = support::start(2).await;
     caller::stream(running.front(0), &plan()).await.unwrap();
     running.site.store.fail(siskinrock_fakes::store::Fault::Silent);
-    wait_for("both notice", async || {
+    wait_for("both instances notice the silence", async || {
         running.gateways.iter().all(|gateway| gateway.logged().contains("directory lost"))
     })
     .await;
@@ -208,7 +209,7 @@
         engine.come_back(&format!("reborn-{index}"));
     }
     for gateway in [0, 1] {
-        wait_for("streams are served by engines that were found", async || {
+        wait_for("streams are served by rediscovered engines", async || {
             let sent = plan();
             let stream = caller::stream(running.front(gateway), &sent).await;
             stream.is_ok_and(|stream| stream.is_complete && stream.text == whole_text(&sent, 0))
@@ -216,15 +217,15 @@
         .await;
     }
     running.site.store.fail(siskinrock_fakes::store::Fault::None);
-    wait_for("only what is listed counts again", async || {
+    wait_for("only listed engines count again", async || {
         running.gateways[0].logged().contains("count only as listed")
     })
     .await;
 }
 
-/// Four instances watch the store, each with a longer wait than the one before it, so that the last
-/// would notice its silence only after eight seconds. Engines that crashed before anybody noticed are
-/// found once the first one does.
+/// Four instances watch the store, each with a longer timeout than the one before it, so that the
+/// last would notice its silence only after eight seconds. Engines that crashed before any instance
+/// noticed are rediscovered once the first one does.
 #[tokio::test]
 async fn engines_that_crashed_before_the_silence_was_noticed_are_found() {
     const FOUND_WITHIN: Duration = Duration::from_millis(5_500);
@@ -235,18 +236,18 @@
     for (index, engine) in running.site.engines.iter().enumerate() {
         engine.come_back(&format!("reborn-{index}"));
     }
-    wait_for("streams are served by engines that were found", async || {
+    wait_for("streams are served by rediscovered engines", async || {
         let sent = plan();
         let stream = caller::stream(running.front(0), &sent).await;
         stream.is_ok_and(|stream| stream.is_complete && stream.text == whole_text(&sent, 0))
     })
     .await;
     let found = silent.elapsed();
-    assert!(found < FOUND_WITHIN, "found after {found:?}");
+    assert!(found < FOUND_WITHIN, "rediscovered after {found:?}");
 }
 
-/// All engines crash at once, twice, and are back each time after over a second. A caller that is
-/// refused meanwhile comes back once, when it was told to, and must find them.
+/// All engines crash at once, twice, and are back after more than a second each time. A caller that
+/// is refused meanwhile retries once, after the time it was given, and must reach one of them.
 #[tokio::test]
 async fn a_refused_caller_comes_back_when_the_engines_are_back() {
     const AWAY: Duration = Duration::from_millis(1_500);
@@ -279,8 +280,8 @@
     );
 }
 
-/// A full engine resets connections beyond its bound. Its runs were taken for lost between two events,
-/// and cut where no repeat was left.
+/// A full engine resets connections beyond its limit. Its runs were taken for lost between two
+/// events, and truncated if no retry was left.
 #[tokio::test]
 async fn a_stream_stays_at_an_engine_that_resets_the_question() {
     let running = support::start_site(Site::start(2, 300).await, 1).await;
@@ -296,14 +297,14 @@
 }
 
 impl Running {
-    /// How often the log says that a request was sent.
+    /// How many times the log says that a request was sent.
     pub fn logged_sent(&self, id: &str) -> usize {
         let logs = self.gateways.iter().map(|gateway| gateway.logged()).collect::<String>();
         let is_sent = |line: &&str| line.contains("\"msg\":\"sent\"") && line.contains(id);
         logs.lines().filter(is_sent).count()
     }
 
-    /// Waits until an engine has made a few events of its run, but not all.
+    /// Waits until an engine has sent a few events of its run, but not all.
     pub async fn wait_for_events(&self, engine: usize) {
         wait_for("some events are made", async || {
             let made = self.site.engines[engine].made();
@@ -313,8 +314,8 @@
         .await;
     }
 
-    /// Has all engines listed where nothing listens, as they are after a crash, until the gateway
-    /// has found that out.
+    /// Lists all engines at addresses where nothing listens, as after a crash, and waits until the
+    /// gateway has noticed that.
     async fn crash_all_engines(&self, outage: u32) {
         for (index, engine) in self.site.engines.iter().enumerate() {
             let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
@@ -324,7 +325,7 @@
             self.site.store.remove(&format!("servers/{}", engine.id));
         }
         wait_for("the gateway finds no engine", async || {
-            // One that is still taken must not delay the test.
+            // A request that is still accepted must not delay the test.
             let probe = Call { deadline_ms: 100, ..plan() };
             let stream = caller::stream(self.front(0), &probe).await;
             stream.is_ok_and(|stream| stream.head.status() == 503)
