--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -228,7 +228,7 @@
     worker: &Worker,
     constraints: &mut Constraints,
 ) -> Option<Rc<Worker>> {
-    if !traffic.has_repeat(&job.service) {
+    if !traffic.has_retry(&job.service) {
         return None;
     }
     let apart = Constraints {
@@ -236,7 +236,7 @@
         ..constraints.clone()
     };
     let other = traffic.choose(&job.service, &apart)?;
-    if traffic.is_doubtful(&other, traffic.now_ms()) {
+    if traffic.is_suspected(&other, traffic.now_ms()) {
         return None;
     }
     constraints.not.push(Arc::clone(&other.upstream.id));
@@ -261,10 +261,10 @@
 }
 
 async fn attempt(traffic: &Rc<Traffic>, job: &Job, worker: &Rc<Worker>, is_first: bool) -> Outcome {
-    if !is_first && !traffic.has_repeat(&job.service) {
+    if !is_first && !traffic.has_retry(&job.service) {
         return Outcome::OverBudget;
     }
-    if !traffic.admits(worker).await {
+    if !traffic.try_admit(worker).await {
         return Outcome::Throttled;
     }
     let most = traffic.channel_share(&job.service);
@@ -272,7 +272,7 @@
         Ok(lease) => lease,
         Err(fault) => {
             worker.ended(true, traffic.now_ms());
-            traffic.no_channel(worker, &fault);
+            traffic.note_connect_failure(worker, &fault);
             slog::info!(traffic.log, "no channel"; "request" => job.id(),
                 "upstream" => &*worker.upstream.id, "detail" => %fault);
             return unsent();
@@ -284,7 +284,7 @@
         return unsent();
     }
     // Only what is really sent again draws on the budget.
-    if !is_first && !traffic.may_repeat(&job.service) {
+    if !is_first && !traffic.take_retry(&job.service) {
         worker.give_back(lease, None, now_ms);
         return Outcome::OverBudget;
     }
@@ -312,7 +312,7 @@
         Err(fault) => matches!(fault, Fault::Broken { .. }),
     };
     if may_have_run {
-        traffic.note_begun(job, now_ms);
+        traffic.note_run_start(job, now_ms);
     }
     job.record_time(&traffic.metrics, Time::Upstream, traffic.now_ms() - now_ms);
     judge(traffic, job, worker, lease, result)
@@ -374,15 +374,15 @@
     if marks.id.is_some() && marks.id != job.demand.id {
         worker.ended(true, now_ms);
         traffic.metrics.count("answers_of_other_requests");
-        traffic.note_bounds(worker, &marks);
+        traffic.note_announced_limits(worker, &marks);
         return Outcome::Unknown { detail: "the answer belongs to another request".to_owned() };
     }
     if whole.status == 421 {
-        traffic.replaced(worker);
+        traffic.mark_replaced(worker);
     } else {
         worker.answered(now_ms);
     }
-    traffic.note_signals(worker, whole.status, &marks);
+    traffic.note_response_metadata(worker, whole.status, &marks);
     let is_success = (200..300).contains(&whole.status);
     // After an early refusal the upstream may still expect the rest of the body.
     if is_success || job.body.is_empty() {
@@ -425,10 +425,12 @@
 fn finish(job: &Job, traffic: &Traffic, failure: Failure, may_have_run: bool) -> Answer {
     let failure = match failure {
         _ if may_have_run => Failure::Unknown,
-        Failure::NoUpstream if traffic.throttled_ms(&job.service).is_some() => Failure::Throttled,
+        Failure::NoUpstream if traffic.throttled_for_ms(&job.service).is_some() => {
+            Failure::Throttled
+        }
         failure => failure,
     };
-    let retry_after_ms = traffic.comes_back_ms(job, &failure);
+    let retry_after_ms = traffic.retry_after_ms(job, &failure);
     traffic.refuse(job, &failure, retry_after_ms)
 }
 
--- a/src/gateway/front.rs
+++ b/src/gateway/front.rs
@@ -45,23 +45,23 @@
         biased;
         read = read(traffic, demand, request) => read,
         // Nothing of it was sent anywhere, nor will be.
-        () = traffic.gives_last_answers() => {
+        () = traffic.wait_for_final_responses() => {
             let failure = Failure::Stopping;
             Err(Rejected { failure, id, host, path, config_version: 0, after_ms: None })
         }
     };
     match read {
-        Ok(job) if !traffic.takes(&job) => traffic.refuse(&job, &Failure::Stopping, None),
+        Ok(job) if !traffic.accepts(&job) => traffic.refuse(&job, &Failure::Stopping, None),
         Ok(job) if traffic.quarantine_left_ms(&job).is_some() => traffic.refuse_quarantined(&job),
         Ok(job) if job.route.repeat.is_stream() => stream::serve(traffic, job).await,
         Ok(job) => tokio::select! {
             biased;
             answer = call::serve(traffic, &job) => answer,
-            () = traffic.gives_last_answers() => traffic.refuse(&job, &Failure::Stopped, None),
+            () = traffic.wait_for_final_responses() => traffic.refuse(&job, &Failure::Stopped, None),
             // It may run at an upstream, which crashes if it begins to.
-            () = traffic.is_quarantined(&job) => {
+            () = traffic.wait_until_quarantined(&job) => {
                 let failure = Failure::Poison { fingerprint: job.fingerprint() };
-                let after_ms = traffic.comes_back_ms(&job, &failure);
+                let after_ms = traffic.retry_after_ms(&job, &failure);
                 traffic.refuse(&job, &failure, after_ms)
             }
         },
--- a/src/gateway/open.rs
+++ b/src/gateway/open.rs
@@ -42,7 +42,7 @@
 impl OpenGuard {
     /// Counts one more.
     pub fn new(traffic: &Rc<Traffic>, id: Option<Arc<str>>, number: u32) -> OpenGuard {
-        traffic.open.set(traffic.open.get() + 1);
+        traffic.open_requests.set(traffic.open_requests.get() + 1);
         let since_ms = traffic.now_ms();
         OpenGuard { traffic: Rc::clone(traffic), id, number, since_ms, is_answered: false }
     }
@@ -51,7 +51,7 @@
 impl Drop for OpenGuard {
     fn drop(&mut self) {
         let traffic = &self.traffic;
-        traffic.open.set(traffic.open.get() - 1);
+        traffic.open_requests.set(traffic.open_requests.get() - 1);
         if self.is_answered {
             return;
         }
--- a/src/gateway/server.rs
+++ b/src/gateway/server.rs
@@ -232,10 +232,10 @@
     accepting: JoinHandle<()>,
 ) {
     traffic.stop.set(Some(stop));
-    let is_idle = || traffic.open.get() == 0 && traffic.now_ms() >= stop.least_ms();
+    let is_idle = || traffic.open_requests.get() == 0 && traffic.now_ms() >= stop.least_ms();
     wait_until(traffic, stop.answer_ms(), is_idle).await;
     let after_ms = traffic.now_ms() - stop.since_ms;
-    slog::info!(traffic.log, "closing to callers"; "open" => traffic.open.get(),
+    slog::info!(traffic.log, "closing to callers"; "open" => traffic.open_requests.get(),
         "connections" => traffic.connections.get(), "after_ms" => after_ms);
     // An error means that there is neither a listener nor a connection.
     let _ = close.send(true);
@@ -243,9 +243,9 @@
     let _ = accepting.await;
     let is_left = || traffic.connections.get() == 0;
     wait_until(traffic, stop.answer_ms(), is_left).await;
-    traffic.last_answers.send_replace(true);
+    traffic.final_responses_due.send_replace(true);
     wait_until(traffic, stop.end_ms(), is_left).await;
-    slog::info!(traffic.log, "requests ended"; "cut" => traffic.open.get(),
+    slog::info!(traffic.log, "requests ended"; "cut" => traffic.open_requests.get(),
         "connections" => traffic.connections.get(),
         "after_ms" => traffic.now_ms() - stop.since_ms);
 }
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -52,9 +52,9 @@
             biased;
             () = run.drive() => {}
             // The response is truncated; its caller resumes elsewhere after its last event.
-            () = traffic.gives_last_answers() => run.give_up(Failure::Stopped),
+            () = traffic.wait_for_final_responses() => run.give_up(Failure::Stopped),
             // The request may be queued at an engine, which would crash when the run starts.
-            () = traffic.is_quarantined(&job) => {
+            () = traffic.wait_until_quarantined(&job) => {
                 run.give_up(Failure::Poison { fingerprint: job.fingerprint() });
             }
         }
@@ -244,12 +244,14 @@
     async fn come_back(&mut self) -> bool {
         let part = self.part().filter(|_| self.last_event.is_some());
         if let Some(part) = part {
-            self.traffic.find_place(&self.job.service, part).await;
+            self.traffic.resolve_cache_location(&self.job.service, part).await;
         }
-        let Some(part) = part.filter(|part| self.traffic.has_forgotten(*part)) else { return true };
+        let Some(part) = part.filter(|part| self.traffic.needs_cache_lookup(*part)) else {
+            return true;
+        };
         self.is_late = true;
-        self.traffic.recall(&self.job.service, part).await;
-        self.traffic.place_of(part).is_some() || self.let_others_go_first().await
+        self.traffic.look_up_cache(&self.job.service, part).await;
+        self.traffic.cache_location(part).is_some() || self.let_others_go_first().await
     }
 
     /// Waits while requests that can still be on time need the engines. Returns false if the caller
@@ -260,7 +262,7 @@
             if !self.wait(fastrand::u64(..admission::LOOK_MS)).await {
                 return false;
             }
-            if late.is_sent(self.traffic.load_of(&self.job.service), self.traffic.now_ms()) {
+            if late.is_sent(self.traffic.service_load(&self.job.service), self.traffic.now_ms()) {
                 return true;
             }
         }
@@ -366,7 +368,7 @@
         {
             return Some((copy.worker, Some(copy.name)));
         }
-        if let Some(worker) = self.part().and_then(|part| self.traffic.place_of(part))
+        if let Some(worker) = self.part().and_then(|part| self.traffic.cache_location(part))
             && !self.left.contains(&worker.upstream.id)
             && self.is_fit(&worker)
         {
@@ -380,7 +382,7 @@
             near: Some(Arc::clone(&self.traffic.settings.domain)),
         };
         let prompt = &self.job.demand.prompt_parts;
-        let chosen = self.traffic.choose_for(&self.job.service, &constraints, prompt);
+        let chosen = self.traffic.choose_for_prompt(&self.job.service, &constraints, prompt);
         chosen.map(|worker| (worker, None))
     }
 
@@ -416,12 +418,12 @@
                 Failure::Unknown
             }
             Failure::TimeOver if self.arrived == 0 => Failure::TimeOverUnsent,
-            Failure::NoUpstream if self.traffic.throttled_ms(&self.job.service).is_some() => {
+            Failure::NoUpstream if self.traffic.throttled_for_ms(&self.job.service).is_some() => {
                 Failure::Throttled
             }
             failure => failure,
         };
-        let after_ms = self.traffic.comes_back_ms(&self.job, &failure);
+        let after_ms = self.traffic.retry_after_ms(&self.job, &failure);
         let answer = self.traffic.refuse(&self.job, &failure, after_ms);
         if let Some(body) = self.body.take() {
             // Without the last chunk, the response can't be mistaken for a complete one.
--- a/src/gateway/stream/attempt.rs
+++ b/src/gateway/stream/attempt.rs
@@ -18,7 +18,7 @@
 use super::super::metrics::Time;
 use super::super::policy::silence::{Silence, Verdict};
 use super::super::route::{Repeat, Route};
-use super::super::traffic::Life;
+use super::super::traffic::Liveness;
 use super::super::worker::{Count, Lease, What, Worker};
 use super::copy::Growing;
 use super::{Loss, Outcome, Progress, Refused, Run, caller_left, lost, until};
@@ -62,7 +62,7 @@
         self.here = Progress::default();
         let mut silences = worker.silences.subscribe();
         silences.mark_unchanged();
-        if !traffic.admits(worker).await {
+        if !traffic.try_admit(worker).await {
             return Err(Outcome::NotRun {
                 why: Refused::NotSent("the upstream is throttled".to_owned()),
             });
@@ -71,7 +71,7 @@
         let mut lease = match worker.lease(most, traffic.now_ms()).await {
             Ok(lease) => lease,
             Err(fault) => {
-                traffic.no_channel(worker, &fault);
+                traffic.note_connect_failure(worker, &fault);
                 slog::info!(traffic.log, "no channel"; "request" => self.job.id(),
                     "upstream" => &*worker.upstream.id, "detail" => %fault);
                 return Err(Outcome::NotRun { why: Refused::NotSent(fault.to_string()) });
@@ -90,14 +90,14 @@
         let copy = self.place_copy(worker);
         let is_read = from.is_none() && self.last_event.is_none();
         let need = self.need();
-        let kept_tokens = traffic.kept_tokens(&self.job.demand, worker);
+        let kept_tokens = traffic.cached_tokens_at(&self.job.demand, worker);
         let pending_tokens = need.prompt_tokens.saturating_sub(kept_tokens);
         let run = worker.count(What::Run, need.memory_tokens());
         let reading = from.is_none().then(|| worker.count(What::Reading, pending_tokens));
         let request = self
             .job
             .request(&*traffic.dialect, &self.dispatch(worker, copy.as_ref(), from.as_ref()));
-        let seen = traffic.standing(worker);
+        let seen = traffic.placement_state(worker);
         slog::info!(traffic.log, "sent"; "request" => self.job.id(),
             "upstream" => &*worker.upstream.id, "domain" => &*worker.upstream.domain,
             "copy" => copy.as_ref().map(|copy| copy.upstream.id.to_string()),
@@ -106,8 +106,8 @@
             "pending_tokens" => seen.load.pending_tokens,
             "reserved_tokens" => seen.load.reserved_tokens, "kept_tokens" => kept_tokens,
             "list_revision" => traffic.shared.view.load().fleet.revision);
-        traffic.note_prompt(&self.job.demand, worker);
-        traffic.tell_peers();
+        traffic.note_prompt_locations(&self.job.demand, worker);
+        traffic.notify_peers();
         let sent_ms = traffic.now_ms();
         let copy = copy.map(|worker| Growing {
             _count: worker.count(What::Copy, need.memory_tokens()),
@@ -125,7 +125,7 @@
             return Err(self.pass_on_failure(worker, lease, response, &marks).await);
         }
         if is_read {
-            traffic.note_first_event(&self.job, traffic.now_ms() - sent_ms);
+            traffic.note_first_event_wait(&self.job, traffic.now_ms() - sent_ms);
         }
         self.here.answers_since_ms = Some(traffic.now_ms());
         self.note_copy(copy);
@@ -157,7 +157,7 @@
                 response = sending.as_mut() => break response,
                 () = caller_left(&mut self.head, &self.body) => return Err(Outcome::CallerLeft),
                 _ = silences.changed() => {
-                    if !traffic.is_surely_lost(worker).await {
+                    if !traffic.is_confirmed_lost(worker).await {
                         continue;
                     }
                     self.note_arrival();
@@ -173,15 +173,15 @@
             let life = tokio::select! {
                 response = sending.as_mut() => break response,
                 () = caller_left(&mut self.head, &self.body) => return Err(Outcome::CallerLeft),
-                life = traffic.life(worker) => life,
+                life = traffic.probe(worker) => life,
             };
-            if matches!(life, Life::Lost) && !traffic.is_surely_lost(worker).await {
+            if matches!(life, Liveness::Lost) && !traffic.is_confirmed_lost(worker).await {
                 continue;
             }
             let sent = self.sent + 1;
             let left = self.judge_silence(&mut silence, &life, asked_ms, worker, sent);
             if let Some(outcome) = left {
-                traffic.note_first_event(&self.job, traffic.now_ms() - sent_ms);
+                traffic.note_first_event_wait(&self.job, traffic.now_ms() - sent_ms);
                 self.note_arrival();
                 return Err(outcome);
             }
@@ -199,7 +199,8 @@
 
     /// How long after sending the first event is overdue, if another attempt is possible.
     fn overdue_ms(&self) -> Option<u64> {
-        self.can_leave(self.sent + 1).then(|| self.traffic.overdue_ms(&self.job, self.arrived))
+        self.can_leave(self.sent + 1)
+            .then(|| self.traffic.first_event_overdue_ms(&self.job, self.arrived))
     }
 
     /// Whether another attempt is possible after `sent` of them, so that leaving a silent engine
@@ -207,7 +208,7 @@
     pub(super) fn can_leave(&self, sent: u32) -> bool {
         let Route { repeat, max_attempts, .. } = *self.job.route;
         let is_last = sent >= max_attempts;
-        let has_repeat = || self.has_repeat || self.traffic.has_repeat(&self.job.service);
+        let has_repeat = || self.has_repeat || self.traffic.has_retry(&self.job.service);
         repeat == Repeat::Resumable && !is_last && has_repeat()
     }
 
@@ -220,7 +221,7 @@
 
     /// Takes a retry from the budget, or uses the one taken before.
     fn take_repeat(&mut self) -> bool {
-        std::mem::take(&mut self.has_repeat) || self.traffic.may_repeat(&self.job.service)
+        std::mem::take(&mut self.has_repeat) || self.traffic.take_retry(&self.job.service)
     }
 
     /// Decides what an engine's state means for a run that is silent there; `sent` counts the
@@ -228,19 +229,19 @@
     pub(super) fn judge_silence(
         &mut self,
         silence: &mut Silence,
-        life: &Life,
+        life: &Liveness,
         asked_ms: u64,
         worker: &Worker,
         sent: u32,
     ) -> Option<Outcome> {
-        if matches!(life, Life::Lost) {
+        if matches!(life, Liveness::Lost) {
             return Some(lost("silent, and its liveness probe failed", Loss::Silent));
         }
         let sighting = life.sighting(self.job.id());
         let verdict = silence.see(sighting, asked_ms);
         slog::info!(self.traffic.log, "silent run checked"; "request" => self.job.id(),
             "upstream" => &*worker.upstream.id, "sighting" => ?sighting, "verdict" => ?verdict,
-            "told" => %life, "reading" => self.traffic.reading_at(worker),
+            "told" => %life, "reading" => self.traffic.prefills_at(worker),
             "after" => self.last_event, "quiet_ms" => asked_ms - self.last_event_ms);
         match verdict {
             Verdict::Wait => None,
@@ -256,7 +257,7 @@
     /// wait for it.
     fn holds_prompt(&self, worker: &Worker) -> bool {
         let part = self.part().filter(|_| self.job.demand.last_event.is_some());
-        let place = part.and_then(|part| self.traffic.place_of(part));
+        let place = part.and_then(|part| self.traffic.cache_location(part));
         place.is_some_and(|place| place.upstream.id == worker.upstream.id)
     }
 
@@ -289,16 +290,16 @@
         let now_ms = self.traffic.now_ms();
         if marks.id.is_some() && marks.id != self.job.demand.id {
             self.traffic.metrics.count("answers_of_other_requests");
-            self.traffic.note_bounds(worker, marks);
+            self.traffic.note_announced_limits(worker, marks);
             return Some(lost("the response belongs to another request", Loss::Left));
         }
         if response.status().as_u16() == 421 {
-            self.traffic.replaced(worker);
+            self.traffic.mark_replaced(worker);
         } else {
             worker.answered(now_ms);
         }
         let status = response.status().as_u16();
-        self.traffic.note_signals(worker, status, marks);
+        self.traffic.note_response_metadata(worker, status, marks);
         if status == 421 {
             // The engine that is there now doesn't count against the route's maximum of upstreams
             // that run the request.
--- a/src/gateway/stream/copy.rs
+++ b/src/gateway/stream/copy.rs
@@ -48,7 +48,7 @@
 ) -> Option<NewCopy> {
     let (path, body) = traffic.dialect.copy_call(&id, target.upstream.addr);
     let limit = Duration::from_millis(COPY_TIMEOUT_MS);
-    let asked = traffic.ask(&source, Method::POST, path, body);
+    let asked = traffic.call_engine(&source, Method::POST, path, body);
     let answered = tokio::time::timeout(limit, asked).await.ok().and_then(Result::ok);
     let status = answered.as_ref().map(|(status, _)| *status);
     let name = answered.filter(|(status, _)| *status == 200);
@@ -64,7 +64,7 @@
     /// Whether an engine can take over a run or hold a new copy.
     pub(super) fn is_fit(&self, worker: &Worker) -> bool {
         let now_ms = self.traffic.now_ms();
-        self.traffic.takes_work(&worker.upstream.id) && !self.traffic.is_doubtful(worker, now_ms)
+        self.traffic.takes_work(&worker.upstream.id) && !self.traffic.is_suspected(worker, now_ms)
     }
 
     /// Chooses the engine for a new copy: not the run's own, nor one that it left, nor one that
@@ -88,7 +88,7 @@
             near: None,
         };
         let chosen = self.traffic.choose(&self.job.service, &constraints)?;
-        let has_room = || self.traffic.standing(&chosen).load.has_room(need);
+        let has_room = || self.traffic.placement_state(&chosen).load.has_room(need);
         (self.is_fit(&chosen) && has_room()).then_some(chosen)
     }
 
--- a/src/gateway/stream/crashes.rs
+++ b/src/gateway/stream/crashes.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use super::super::policy::quarantine::{self, CLEARING_EVENTS};
-use super::super::traffic::JUDGED_MS;
+use super::super::traffic::VERDICT_WAIT_MS;
 use super::super::worker::Worker;
 use super::{Loss, Outcome, Run, Unjudged, lost};
 
@@ -20,7 +20,7 @@
             self.crashed_at = Some(event);
             self.traffic.note_crash(&self.job, worker, stage, event);
         } else {
-            self.traffic.check_ending(worker);
+            self.traffic.check_exit(worker);
         }
         lost(detail, Loss::BrokeOff)
     }
@@ -30,13 +30,13 @@
     /// passed or the caller has disconnected.
     pub(super) async fn wait_for_judgement(&mut self) -> bool {
         let now_ms = self.traffic.now_ms();
-        self.crashes.retain(|crash| crash.at_ms + JUDGED_MS > now_ms);
+        self.crashes.retain(|crash| crash.at_ms + VERDICT_WAIT_MS > now_ms);
         let points = self.crashes.iter().map(|crash| crash.points).sum();
         let Some(last) = self.crashes.last().copied() else { return true };
         if !self.traffic.may_be_quarantined(&self.job, points) {
             return true;
         }
-        if self.wait(last.at_ms + JUDGED_MS - now_ms).await {
+        if self.wait(last.at_ms + VERDICT_WAIT_MS - now_ms).await {
             return true;
         }
         self.give_up(self.time_over());
--- a/src/gateway/stream/relay.rs
+++ b/src/gateway/stream/relay.rs
@@ -12,7 +12,7 @@
 use super::super::events::{Event, Splitter};
 use super::super::metrics::Time;
 use super::super::policy::silence::{self, Silence};
-use super::super::traffic::{Life, OWN_LAG_MS};
+use super::super::traffic::{Liveness, MAX_TIMER_LAG_MS};
 use super::super::worker::Worker;
 use super::attempt::Opened;
 use super::{Loss, Outcome, Run, caller_left, lost, until};
@@ -57,7 +57,7 @@
         loop {
             let quiet_ms = match reading {
                 Some(_) => patience.first_ms,
-                None if traffic.reading_at(worker) > 0 => patience.reading_gap_ms,
+                None if traffic.prefills_at(worker) > 0 => patience.reading_gap_ms,
                 None => patience.gap_ms,
             };
             let wake_ms = traffic.now_ms() + quiet_ms;
@@ -65,7 +65,7 @@
                 frame = body.frame() => frame,
                 () = caller_left(&mut self.head, &self.body) => return Outcome::CallerLeft,
                 _ = silences.changed() => {
-                    if self.copy.is_none() && !traffic.is_surely_lost(worker).await {
+                    if self.copy.is_none() && !traffic.is_confirmed_lost(worker).await {
                         continue;
                     }
                     return lost("silent", Loss::Silent);
@@ -75,7 +75,7 @@
                     if now_ms >= self.job.until_ms {
                         return Outcome::TimeOver;
                     }
-                    if now_ms > wake_ms + OWN_LAG_MS {
+                    if now_ms > wake_ms + MAX_TIMER_LAG_MS {
                         continue;
                     }
                     let times = Times { first_ms, heard_ms };
@@ -111,9 +111,9 @@
             if !splitter.push(&data, &mut events) {
                 return lost("an event exceeds the maximum length", Loss::Left);
             }
-            traffic.note_begun(&self.job, heard_ms);
+            traffic.note_run_start(&self.job, heard_ms);
             if reading.take().is_some() {
-                traffic.tell_peers();
+                traffic.notify_peers();
             }
             self.keep_copy(worker);
             for event in events.drain(..) {
@@ -138,11 +138,11 @@
         let life = tokio::select! {
             frame = body.frame() => return Quiet::Frame(frame),
             () = caller_left(&mut self.head, &self.body) => return Quiet::Leave(Outcome::CallerLeft),
-            life = traffic.life(worker) => life,
+            life = traffic.probe(worker) => life,
         };
-        if matches!(life, Life::Lost)
+        if matches!(life, Liveness::Lost)
             && self.copy.is_none()
-            && !traffic.is_surely_lost(worker).await
+            && !traffic.is_confirmed_lost(worker).await
         {
             return Quiet::Wait;
         }
@@ -159,7 +159,7 @@
             return self.hand_over(worker, "engine preempted the run").await;
         }
         let patience = self.patience();
-        let is_at_prompts = life.is_reading();
+        let is_at_prompts = life.has_pending_prompts();
         let stuck_ms = if is_at_prompts { patience.stuck_reading_ms } else { patience.stuck_ms };
         let stuck_ms = times.heard_ms + stuck_ms;
         tokio::select! {
@@ -244,7 +244,7 @@
     pub(super) fn complete(&mut self, worker: &Worker) {
         let whole_ms = self.traffic.now_ms() - self.job.since_ms;
         self.traffic.note_served(&self.job, None);
-        self.traffic.note_output(&self.job, self.last_event.unwrap_or(0));
+        self.traffic.note_output_length(&self.job, self.last_event.unwrap_or(0));
         self.job.record(&self.traffic.metrics, whole_ms, self.first_ms);
         self.job.record_time(&self.traffic.metrics, Time::Gap, self.longest_gap_ms);
         slog::info!(self.traffic.log, "complete"; "request" => self.job.id(),
--- a/src/gateway/traffic.rs
+++ b/src/gateway/traffic.rs
@@ -7,8 +7,8 @@
 mod quarantine;
 mod signals;
 
-pub(super) use self::losses::{Life, OWN_LAG_MS};
-pub(super) use self::quarantine::JUDGED_MS;
+pub(super) use self::losses::{Liveness, MAX_TIMER_LAG_MS};
+pub(super) use self::quarantine::VERDICT_WAIT_MS;
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -21,7 +21,7 @@
 use hyper::{Method, Request};
 use tokio::sync::watch;
 
-use self::places::Place;
+use self::places::CacheLocation;
 use super::ablation::Mechanism;
 use super::answer::{self, Answer};
 use super::channel::Fault;
@@ -50,7 +50,7 @@
 
 /// Percentile of observed output lengths for which engine memory is reserved. The few longer
 /// outputs share the memory that stays free.
-const USUAL_OUTPUT: f64 = 0.9;
+const OUTPUT_TOKENS_PERCENTILE: f64 = 0.9;
 /// Channels per upstream that an instance may open beyond its even share, since load is never even.
 const CHANNEL_SLACK: u32 = 2;
 
@@ -65,7 +65,7 @@
     pub log: slog::Logger,
     pub metrics: Arc<Metrics>,
     /// Requests whose response is not complete.
-    pub open: Cell<usize>,
+    pub open_requests: Cell<usize>,
     /// Open connections from callers.
     pub connections: Cell<usize>,
     /// The planned stop in progress, if any.
@@ -73,30 +73,30 @@
     /// Whether started requests are reported to usage accounting.
     reports_usage: bool,
     /// Becomes true when a planned stop gives every unanswered request its final response.
-    pub last_answers: watch::Sender<bool>,
+    pub final_responses_due: watch::Sender<bool>,
     /// Sum of the runs and tokens at all upstreams as of the last sweep.
-    told_load: Cell<u64>,
-    places: RefCell<BTreeMap<u64, Vec<Place>>>,
+    reported_load: Cell<u64>,
+    cache_locations: RefCell<BTreeMap<u64, Vec<CacheLocation>>>,
     /// Output tokens of complete streams, by service.
-    outputs: RefCell<BTreeMap<Arc<str>, Latencies>>,
+    output_lengths: RefCell<BTreeMap<Arc<str>, Latencies>>,
     fleet: RefCell<Arc<Fleet>>,
     /// Upstreams known to be leaving, as last applied to `workers`.
     departures: RefCell<Departures>,
     workers: RefCell<BTreeMap<Arc<str>, Rc<Worker>>>,
-    budgets: RefCell<BTreeMap<Arc<str>, Budget>>,
+    retry_budgets: RefCell<BTreeMap<Arc<str>, Budget>>,
     /// Services whose engines have been queried for cached prompts since the start.
-    recalled: RefCell<BTreeSet<Arc<str>>>,
+    cache_queried: RefCell<BTreeSet<Arc<str>>>,
     probes: RefCell<BTreeMap<Arc<str>, losses::Probe>>,
     second_probes: RefCell<BTreeMap<Arc<str>, losses::Probe>>,
     /// Checks in progress whether an upstream's process has exited.
-    endings: RefCell<BTreeMap<Arc<str>, endings::Check>>,
+    exit_checks: RefCell<BTreeMap<Arc<str>, endings::ExitCheck>>,
     /// When an upstream last closed a connection during a request that may have crashed it.
-    crashed_ms: Cell<Option<u64>>,
+    last_crash_ms: Cell<Option<u64>>,
     losses: RefCell<Losses>,
     outages: RefCell<Outages>,
     latencies: RefCell<BTreeMap<Arc<str>, Latencies>>,
     /// Microseconds from sending to the first event per prompt token, by service.
-    first_events: RefCell<BTreeMap<Arc<str>, Latencies>>,
+    first_event_us_per_token: RefCell<BTreeMap<Arc<str>, Latencies>>,
 }
 
 impl Traffic {
@@ -118,45 +118,45 @@
             clock,
             log,
             metrics,
-            open: Cell::new(0),
+            open_requests: Cell::new(0),
             connections: Cell::new(0),
             stop: Cell::new(None),
-            last_answers: watch::Sender::new(false),
-            told_load: Cell::default(),
-            places: RefCell::default(),
-            outputs: RefCell::default(),
+            final_responses_due: watch::Sender::new(false),
+            reported_load: Cell::default(),
+            cache_locations: RefCell::default(),
+            output_lengths: RefCell::default(),
             fleet: RefCell::default(),
             departures: RefCell::default(),
             workers: RefCell::default(),
-            budgets: RefCell::default(),
-            recalled: RefCell::default(),
+            retry_budgets: RefCell::default(),
+            cache_queried: RefCell::default(),
             probes: RefCell::default(),
             second_probes: RefCell::default(),
-            endings: RefCell::default(),
-            crashed_ms: Cell::default(),
+            exit_checks: RefCell::default(),
+            last_crash_ms: Cell::default(),
             losses: RefCell::default(),
             outages: RefCell::default(),
             latencies: RefCell::default(),
-            first_events: RefCell::default(),
+            first_event_us_per_token: RefCell::default(),
         })
     }
 
     /// Whether this instance accepts a request; during a planned stop it accepts only some.
-    pub fn takes(&self, job: &Job) -> bool {
+    pub fn accepts(&self, job: &Job) -> bool {
         let now_ms = self.now_ms();
         self.stop.get().is_none_or(|stop| stop.takes(job.route.repeat, job.until_ms, now_ms))
     }
 
     /// How long the caller should wait before it retries after a failure, if the state of the
     /// service determines that.
-    pub fn comes_back_ms(&self, job: &Job, failure: &Failure) -> Option<u64> {
+    pub fn retry_after_ms(&self, job: &Job, failure: &Failure) -> Option<u64> {
         let left_ms = job.left_ms(self.now_ms());
         match failure {
-            Failure::Throttled => self.comes_back_to_throttled_ms(&job.service),
-            Failure::Full if self.throttled_ms(&job.service).is_some() => {
-                self.comes_back_to_throttled_ms(&job.service)
+            Failure::Throttled => self.throttled_retry_after_ms(&job.service),
+            Failure::Full if self.throttled_for_ms(&job.service).is_some() => {
+                self.throttled_retry_after_ms(&job.service)
             }
-            Failure::NoUpstream => self.retry_after_ms(&job.service, left_ms),
+            Failure::NoUpstream => self.outage_retry_after_ms(&job.service, left_ms),
             Failure::Quarantined { .. } | Failure::Poison { .. } => self.quarantine_left_ms(job),
             Failure::Full | Failure::TooManyRepeats if job.route.repeat.is_stream() => {
                 Some(outages::full_after_ms(left_ms, &mut fastrand::Rng::new()))
@@ -166,7 +166,7 @@
     }
 
     /// Logs and counts a failure, and returns the error response.
-    pub fn refuse(&self, job: &Job, failure: &Failure, after_ms: Option<u64>) -> Answer {
+    pub fn refuse(&self, job: &Job, failure: &Failure, retry_after_ms: Option<u64>) -> Answer {
         slog::warn!(self.log, "refused"; "request" => job.id(), "route" => &*job.route.name,
             "status" => failure.status(), "why" => %failure,
             "ms" => self.now_ms() - job.since_ms);
@@ -174,14 +174,14 @@
         if matches!(failure, Failure::Quarantined { .. } | Failure::Poison { .. }) {
             self.metrics.count("refused_quarantined");
         }
-        answer::failed(failure, after_ms)
+        answer::failed(failure, retry_after_ms)
     }
 
     /// Records that a request started to run. A request counts once, however often it is sent.
-    pub fn note_begun(&self, job: &Job, began_ms: u64) {
+    pub fn note_run_start(&self, job: &Job, started_ms: u64) {
         let Some(organisation) = &job.organisation else { return };
         if self.reports_usage && !job.has_begun.replace(true) {
-            self.shared.note_begun(Arc::clone(organisation), began_ms);
+            self.shared.note_begun(Arc::clone(organisation), started_ms);
         }
     }
 
@@ -193,10 +193,10 @@
 
     /// Records how long the first event took, or for how long it was awaited before the attempt was
     /// abandoned.
-    pub fn note_first_event(&self, job: &Job, waited_ms: u64) {
+    pub fn note_first_event_wait(&self, job: &Job, waited_ms: u64) {
         let waited_us = waited_ms * 1_000;
         let Some(us_per_token) = waited_us.checked_div(job.demand.prompt_tokens) else { return };
-        let mut known = self.first_events.borrow_mut();
+        let mut known = self.first_event_us_per_token.borrow_mut();
         known.entry(Arc::clone(&job.service)).or_default().record(us_per_token);
     }
 
@@ -205,25 +205,28 @@
     /// once there are enough of them.
     pub fn need(&self, job: &Job) -> Need {
         let Demand { prompt_tokens, output_tokens, .. } = job.demand;
-        let outputs = self.outputs.borrow();
-        let usual_tokens = outputs.get(&job.service).and_then(|made| made.quantile(USUAL_OUTPUT));
-        let output_tokens = usual_tokens.map_or(output_tokens, |usual| usual.min(output_tokens));
+        let lengths = self.output_lengths.borrow();
+        let typical_tokens = lengths
+            .get(&job.service)
+            .and_then(|observed| observed.quantile(OUTPUT_TOKENS_PERCENTILE));
+        let output_tokens =
+            typical_tokens.map_or(output_tokens, |typical| typical.min(output_tokens));
         Need { prompt_tokens, output_tokens }
     }
 
     /// Records the length of a complete stream.
-    pub fn note_output(&self, job: &Job, events: u64) {
+    pub fn note_output_length(&self, job: &Job, events: u64) {
         let view = self.shared.view.load();
         let service = view.config.as_ref().and_then(|all| all.services.get(&job.service));
         let engine = service.and_then(|service| service.engine.as_ref());
         let Some(event_tokens) = engine.and_then(|engine| engine.event_tokens) else { return };
-        let mut outputs = self.outputs.borrow_mut();
-        outputs.entry(Arc::clone(&job.service)).or_default().record(events * event_tokens);
+        let mut lengths = self.output_lengths.borrow_mut();
+        lengths.entry(Arc::clone(&job.service)).or_default().record(events * event_tokens);
     }
 
     /// How long after sending the first event is overdue, after `attempts` earlier attempts.
-    pub fn overdue_ms(&self, job: &Job, attempts: u32) -> u64 {
-        let mut known = self.first_events.borrow_mut();
+    pub fn first_event_overdue_ms(&self, job: &Job, attempts: u32) -> u64 {
+        let mut known = self.first_event_us_per_token.borrow_mut();
         let known = known.entry(Arc::clone(&job.service)).or_default();
         let objective_ms = job.route.target_latency_ms;
         silence::overdue_ms(known, job.demand.prompt_tokens, objective_ms, attempts)
@@ -237,10 +240,10 @@
     }
 
     /// Completes when a planned stop gives the final responses; never, if there is no stop.
-    pub async fn gives_last_answers(&self) {
-        let mut last_answers = self.last_answers.subscribe();
+    pub async fn wait_for_final_responses(&self) {
+        let mut final_responses_due = self.final_responses_due.subscribe();
         // Never fails, since `self` keeps the sender alive.
-        let _ = last_answers.wait_for(|is_now| *is_now).await;
+        let _ = final_responses_due.wait_for(|is_now| *is_now).await;
     }
 
     /// Milliseconds since the process started.
@@ -253,15 +256,15 @@
         let view = self.shared.view.load_full();
         let is_fleet_new = !Arc::ptr_eq(&view.fleet, &self.fleet.borrow());
         if is_fleet_new {
-            self.follow(&view.fleet);
+            self.apply_fleet(&view.fleet);
         }
         if is_fleet_new || !view.departures.is_same(&self.departures.borrow()) {
-            self.follow_departures(&view.departures);
+            self.apply_departures(&view.departures);
         }
         view
     }
 
-    fn follow(&self, fleet: &Arc<Fleet>) {
+    fn apply_fleet(&self, fleet: &Arc<Fleet>) {
         let mut workers = self.workers.borrow_mut();
         workers.retain(|id, _| fleet.upstreams.contains_key(id));
         let now_ms = self.now_ms();
@@ -270,7 +273,7 @@
                 Some(known) if known.upstream.is_same_life(upstream) => known.relist(upstream),
                 known => {
                     if let Some(known) = known {
-                        self.retire(known);
+                        self.mark_restarted(known);
                     }
                     self.outages.borrow_mut().note_alive(&upstream.service, now_ms);
                     workers.insert(Arc::clone(id), Worker::new(upstream.clone(), now_ms));
@@ -288,11 +291,11 @@
 
     /// Marks the former incarnation of a restarted upstream as lost: its runs, copies and cached
     /// prompts no longer exist.
-    fn retire(&self, worker: &Worker) {
+    fn mark_restarted(&self, worker: &Worker) {
         slog::info!(self.log, "upstream restarted"; "upstream" => &*worker.upstream.id);
         worker.replace();
         worker.lost(self.now_ms());
-        self.forget_places(|place| place.upstream == worker.upstream.id);
+        self.forget_cache_locations(|location| location.upstream == worker.upstream.id);
     }
 
     /// The upstream with this id, if it is known.
@@ -308,12 +311,12 @@
 
     /// Chooses the best upstream of a service for a request.
     pub fn choose(&self, service: &str, constraints: &Constraints) -> Option<Rc<Worker>> {
-        self.choose_for(service, constraints, &[])
+        self.choose_for_prompt(service, constraints, &[])
     }
 
     /// Chooses the best upstream of a service for a request with a prompt, taking into account
     /// which engines have its prefixes cached.
-    pub fn choose_for(
+    pub fn choose_for_prompt(
         &self,
         service: &str,
         constraints: &Constraints,
@@ -322,26 +325,31 @@
         let view = self.view();
         let now_ms = self.now_ms();
         let workers = self.workers.borrow();
-        let fitting: Vec<&Rc<Worker>> = workers
+        let eligible: Vec<&Rc<Worker>> = workers
             .values()
             .filter(|worker| *worker.upstream.service == *service && worker.takes_work())
             .filter(|worker| !worker.is_throttled(now_ms))
             .collect();
-        self.hear_losses(&view, &workers, now_ms);
+        self.merge_peer_losses(&view, &workers, now_ms);
         let mut candidates: Vec<Candidate> =
-            fitting.iter().map(|worker| self.candidate(worker, &view, now_ms)).collect();
-        for (id, kept_tokens) in self.kept(prompt, &view) {
+            eligible.iter().map(|worker| self.candidate(worker, &view, now_ms)).collect();
+        for (id, cached_tokens) in self.cached_tokens(prompt, &view) {
             let known = candidates.iter_mut().find(|candidate| candidate.id == id);
             if let Some(candidate) = known {
-                candidate.load.kept_tokens = kept_tokens;
+                candidate.load.kept_tokens = cached_tokens;
             }
         }
-        let unseen = self.unseen(&view, service, constraints.need);
-        let index = placement::choose(&candidates, constraints, unseen, &mut fastrand::Rng::new());
+        let unreported_requests = self.unreported_requests(&view, service, constraints.need);
+        let index = placement::choose(
+            &candidates,
+            constraints,
+            unreported_requests,
+            &mut fastrand::Rng::new(),
+        );
         if index.is_none_or(|index| candidates[index].is_suspect) && view.large.contains(service) {
             self.shared.signal(Signal::NoUpstreamLeft);
         }
-        Some(Rc::clone(fitting[index?]))
+        Some(Rc::clone(eligible[index?]))
     }
 
     /// How many channels this instance may open to one upstream of a service.
@@ -358,7 +366,7 @@
     /// # Errors
     ///
     /// Fails if no complete response arrives.
-    pub async fn ask(
+    pub async fn call_engine(
         &self,
         worker: &Rc<Worker>,
         method: Method,
@@ -366,8 +374,8 @@
         body: Bytes,
     ) -> Result<(u16, Bytes), Fault> {
         let broken = |detail: String| Fault::Broken { detail };
-        let most = self.channel_share(&worker.upstream.service);
-        let mut lease = worker.lease(most, self.now_ms()).await?;
+        let max_channels = self.channel_share(&worker.upstream.service);
+        let mut lease = worker.lease(max_channels, self.now_ms()).await?;
         let request = Request::builder()
             .method(method)
             .uri(path)
@@ -384,31 +392,34 @@
     }
 
     /// Sends peers an update at once: the current load and lost upstreams.
-    pub fn tell_peers(&self) {
-        self.note_own();
+    pub fn notify_peers(&self) {
+        self.refresh_peer_update();
         self.shared.news.notify_one();
     }
 
     /// Sends peers an update if the load changed since the last sweep.
-    fn tell_what_ended(&self) {
+    fn notify_peers_if_changed(&self) {
         let tokens = |worker: &Worker| worker.pending_tokens.get() + worker.reserved_tokens.get();
         let load = |worker: &Worker| u64::from(worker.runs.get()) + tokens(worker);
         let load = self.workers.borrow().values().map(|worker| load(worker)).sum();
-        if self.told_load.replace(load) != load {
-            self.tell_peers();
+        if self.reported_load.replace(load) != load {
+            self.notify_peers();
         } else {
-            self.note_own();
+            self.refresh_peer_update();
         }
     }
 
     /// Refreshes what the next update to peers contains: load, lost upstreams, cache locations and
     /// retry counts.
-    fn note_own(&self) {
+    fn refresh_peer_update(&self) {
         let mut own = Own::default();
-        let places = self.places.borrow();
-        let placed = places.iter().flat_map(|(part, at)| at.iter().map(|at| (*part, at)));
-        own.places = placed.map(|(part, at)| (part, Arc::clone(&at.upstream))).collect();
-        for (service, budget) in self.budgets.borrow().iter() {
+        let locations = self.cache_locations.borrow();
+        let entries = locations
+            .iter()
+            .flat_map(|(prefix, engines)| engines.iter().map(|engine| (*prefix, engine)));
+        own.places =
+            entries.map(|(prefix, engine)| (prefix, Arc::clone(&engine.upstream))).collect();
+        for (service, budget) in self.retry_budgets.borrow().iter() {
             let (requests, repeats) = budget.sums();
             own.sent.push(Sent { service: Arc::clone(service), requests, repeats });
         }
@@ -431,36 +442,36 @@
 
     /// How many engines of a service accept work, and how many of them are processing prompts, as
     /// far as known.
-    pub fn load_of(&self, service: &str) -> Load {
+    pub fn service_load(&self, service: &str) -> Load {
         let workers = self.workers.borrow();
         let now_ms = self.now_ms();
-        let takes = |worker: &&Rc<Worker>| {
+        let accepts_work = |worker: &&Rc<Worker>| {
             *worker.upstream.service == *service
                 && worker.takes_work()
-                && !self.is_doubtful(worker, now_ms)
+                && !self.is_suspected(worker, now_ms)
         };
-        let engines = || workers.values().filter(takes);
-        let reading = engines().filter(|worker| self.reading_at(worker) > 0);
+        let engines = || workers.values().filter(accepts_work);
+        let reading = engines().filter(|worker| self.prefills_at(worker) > 0);
         Load { engines: engines().count(), reading: reading.count() }
     }
 
     /// How many prompts of all instances an engine is processing (prefill), as far as known.
-    pub fn reading_at(&self, worker: &Worker) -> u64 {
+    pub fn prefills_at(&self, worker: &Worker) -> u64 {
         let view = self.shared.view.load();
         let others = view.others.get(&worker.upstream.id).map_or(0, |held| held.reading);
         u64::from(worker.reading.get() + others)
     }
 
     /// What is currently known of an upstream's load, for logs and for the placement of copies.
-    pub fn standing(&self, worker: &Worker) -> Candidate {
+    pub fn placement_state(&self, worker: &Worker) -> Candidate {
         self.candidate(worker, &self.shared.view.load(), self.now_ms())
     }
 
     fn candidate(&self, worker: &Worker, view: &View, now_ms: u64) -> Candidate {
         let others = view.others.get(&worker.upstream.id);
-        let told = worker.told_others(now_ms).filter(|_| Mechanism::ToldLoads.is_on());
-        let others_run = match told {
-            Some(told) => told,
+        let reported_runs = worker.told_others(now_ms).filter(|_| Mechanism::ToldLoads.is_on());
+        let others_run = match reported_runs {
+            Some(running) => running,
             None => others.map_or(0, |held| held.runs),
         };
         let copies = worker.copies.get() + others.map_or(0, |held| held.copies);
@@ -483,7 +494,7 @@
             domain: Arc::clone(&worker.upstream.domain),
             load,
             failing: worker.failing(now_ms),
-            is_suspect: self.is_doubtful(worker, now_ms),
+            is_suspect: self.is_suspected(worker, now_ms),
         }
     }
 
@@ -492,31 +503,31 @@
     pub fn sweep(self: &Rc<Traffic>) {
         let view = self.view();
         let now_ms = self.now_ms();
-        self.forget_places(|place| place.until_ms <= now_ms);
+        self.forget_cache_locations(|location| location.until_ms <= now_ms);
         let workers: Vec<Rc<Worker>> = self.workers.borrow().values().map(Rc::clone).collect();
-        self.hear_losses(&view, &self.workers.borrow(), now_ms);
+        self.merge_peer_losses(&view, &self.workers.borrow(), now_ms);
         for worker in workers {
             worker.sweep(now_ms);
             self.outages.borrow_mut().note_alive(&worker.upstream.service, worker.alive_ms());
-            let is_asked = self.probes.borrow().contains_key(&worker.upstream.id);
-            let has_stake = worker.runs.get() + worker.copies.get() > 0;
-            let is_open = has_stake && !worker.is_lost(now_ms);
+            let is_probed = self.probes.borrow().contains_key(&worker.upstream.id);
+            let has_runs_or_copies = worker.runs.get() + worker.copies.get() > 0;
+            let is_at_risk = has_runs_or_copies && !worker.is_lost(now_ms);
             if Mechanism::Question.is_on()
-                && is_open
-                && !is_asked
-                && self.is_doubtful(&worker, now_ms)
+                && is_at_risk
+                && !is_probed
+                && self.is_suspected(&worker, now_ms)
             {
                 self.start_probe(&worker);
             }
         }
-        self.tell_what_ended();
-        self.note_gauges();
+        self.notify_peers_if_changed();
+        self.update_gauges();
     }
 
-    fn note_gauges(&self) {
+    fn update_gauges(&self) {
         let workers = self.workers.borrow();
         let sum = |count: fn(&Worker) -> u64| workers.values().map(|worker| count(worker)).sum();
-        self.metrics.gauge("open_requests", self.open.get() as u64);
+        self.metrics.gauge("open_requests", self.open_requests.get() as u64);
         self.metrics.gauge("connections", self.connections.get() as u64);
         self.metrics.gauge("channels", sum(Worker::channels));
         self.metrics.gauge("runs", sum(|worker| u64::from(worker.runs.get())));
@@ -527,8 +538,8 @@
         let leaving = |worker: &Worker| u64::from(worker.has_said_leaving());
         self.metrics.gauge("upstreams_leaving_by_answer", sum(leaving));
         let now_ms = self.now_ms();
-        let resting = workers.values().filter(|worker| worker.is_backing_off(now_ms)).count();
-        self.metrics.gauge("upstreams_backing_off", resting as u64);
+        let backing_off = workers.values().filter(|worker| worker.is_backing_off(now_ms)).count();
+        self.metrics.gauge("upstreams_backing_off", backing_off as u64);
         self.metrics.gauge("log_records_left_out", log::left_out());
     }
 }
--- a/src/gateway/traffic/budgets.rs
+++ b/src/gateway/traffic/budgets.rs
@@ -11,25 +11,25 @@
 impl Traffic {
     /// Counts a caller's request to a service.
     pub fn note_request(&self, service: &Arc<str>) {
-        let bound = self.bound(service);
+        let bound = self.retry_bound(service);
         let now_ms = self.now_ms();
-        let mut budgets = self.budgets.borrow_mut();
+        let mut budgets = self.retry_budgets.borrow_mut();
         budgets.entry(Arc::clone(service)).or_default().request(bound, now_ms);
     }
 
     /// Takes one retry from a service's budget, if its bound allows that.
-    pub fn may_repeat(&self, service: &Arc<str>) -> bool {
-        let bound = self.bound(service);
+    pub fn take_retry(&self, service: &Arc<str>) -> bool {
+        let bound = self.retry_bound(service);
         let now_ms = self.now_ms();
-        let mut budgets = self.budgets.borrow_mut();
+        let mut budgets = self.retry_budgets.borrow_mut();
         budgets.entry(Arc::clone(service)).or_default().repeat(bound, now_ms)
     }
 
     /// Whether a service's budget allows a retry now.
-    pub fn has_repeat(&self, service: &Arc<str>) -> bool {
-        let bound = self.bound(service);
+    pub fn has_retry(&self, service: &Arc<str>) -> bool {
+        let bound = self.retry_bound(service);
         let now_ms = self.now_ms();
-        let mut budgets = self.budgets.borrow_mut();
+        let mut budgets = self.retry_budgets.borrow_mut();
         budgets.entry(Arc::clone(service)).or_default().has_repeat(bound, now_ms)
     }
 
@@ -37,13 +37,13 @@
     /// their load updates, estimated from their reports for the budget window. Retries don't count,
     /// since most of them go to the engine with the run's copy; nor do calls without a prompt,
     /// which end before any update could arrive.
-    pub(super) fn unseen(&self, view: &View, service: &str, need: Need) -> f64 {
+    pub(super) fn unreported_requests(&self, view: &View, service: &str, need: Need) -> f64 {
         let sent = view.sent.get(service).filter(|_| need.prompt_tokens > 0);
         let window_ms = self.settings.repeat_window_ms.max(1);
         sent.map_or(0.0, |sent| sent.requests as f64) * loads::DIGEST_MS as f64 / window_ms as f64
     }
 
-    fn bound(&self, service: &str) -> Bound {
+    fn retry_bound(&self, service: &str) -> Bound {
         let view = self.shared.view.load();
         let others = view.sent.get(service);
         Bound {
--- a/src/gateway/traffic/losses.rs
+++ b/src/gateway/traffic/losses.rs
@@ -21,42 +21,42 @@
 
 /// How long an engine may take to return its state. The query needs no slot, so it takes one round
 /// trip, and resuming elsewhere has to fit into the rest of the allowed gap between events.
-const STATE_TIMEOUT_MS: u64 = 130;
+const STATE_QUERY_TIMEOUT_MS: u64 = 130;
 /// How late a timer may fire before this process assumes that it was stalled itself. Timers are
 /// late by up to a tenth of a second under a CPU quota, and by some ten milliseconds on a busy
 /// core.
-pub(in super::super) const OWN_LAG_MS: u64 = 60;
+pub(in super::super) const MAX_TIMER_LAG_MS: u64 = 60;
 /// Timeout of the second probe, for runs without a copy: three times the first. Waiting costs them
 /// no more than that, while processing their prompts again takes a second.
-const SECOND_TIMEOUT_MS: u64 = 3 * STATE_TIMEOUT_MS;
+const SECOND_PROBE_TIMEOUT_MS: u64 = 3 * STATE_QUERY_TIMEOUT_MS;
 /// Maximum number of state queries per probe. The second is sent only if this process was stalled
 /// or the connection was reset.
-const STATE_TRIES: u32 = 2;
+const MAX_STATE_QUERIES: u32 = 2;
 
 /// Result of a liveness probe.
 #[derive(Debug, Clone, derive_more::Display)]
-pub enum Life {
+pub enum Liveness {
     /// Gone or not responding.
     #[display("lost")]
     Lost,
     /// Alive, with the state it reported; the default state if only events of its runs arrived.
     #[display("{_0}")]
-    Lives(Arc<EngineState>),
+    Alive(Arc<EngineState>),
     /// The probe's connections were reset, as a full engine does with those beyond its limit. That
     /// says nothing about its runs, which fail by themselves if the engine is gone.
     #[display("connections are reset")]
-    Unasked,
+    Inconclusive,
 }
 
-impl Life {
+impl Liveness {
     /// Whether the engine reports requests that wait or whose prompts are being processed.
-    pub fn is_reading(&self) -> bool {
-        matches!(self, Life::Lives(state) if state.unstarted() > 0)
+    pub fn has_pending_prompts(&self) -> bool {
+        matches!(self, Liveness::Alive(state) if state.unstarted() > 0)
     }
 
     /// What the engine reports about a run.
     pub fn sighting(&self, id: &str) -> Sighting {
-        let Life::Lives(state) = self else { return Sighting::Untold };
+        let Liveness::Alive(state) = self else { return Sighting::Untold };
         let Some(runs) = &state.runs else { return Sighting::Untold };
         match runs.iter().find(|run| *run.id == *id) {
             Some(run) => Sighting::Listed { tokens: run.tokens, events: run.events },
@@ -67,84 +67,84 @@
 }
 
 /// A probe in progress, shared by all runs that wait for its result.
-pub(super) type Probe = watch::Receiver<Option<Life>>;
+pub(super) type Probe = watch::Receiver<Option<Liveness>>;
 
 impl Traffic {
     /// Queries an engine's state to learn whether it is alive and what it reports about its runs.
     /// All who probe an engine at the same time share one query.
-    pub async fn life(self: &Rc<Traffic>, worker: &Rc<Worker>) -> Life {
+    pub async fn probe(self: &Rc<Traffic>, worker: &Rc<Worker>) -> Liveness {
         if !Mechanism::Question.is_on() {
-            return Life::Lives(Arc::default());
+            return Liveness::Alive(Arc::default());
         }
         let id = Arc::clone(&worker.upstream.id);
-        let running = self.probes.borrow().get(&id).cloned();
-        let mut answer = running.unwrap_or_else(|| self.start_probe(worker));
-        let answered = answer.wait_for(Option::is_some).await;
-        answered.map_or(Life::Lost, |answer| answer.clone().unwrap_or(Life::Lost))
+        let existing = self.probes.borrow().get(&id).cloned();
+        let mut probe = existing.unwrap_or_else(|| self.start_probe(worker));
+        let finished = probe.wait_for(Option::is_some).await;
+        finished.map_or(Liveness::Lost, |liveness| liveness.clone().unwrap_or(Liveness::Lost))
     }
 
     /// Whether a second probe with a longer timeout fails, too. A run without a copy would have its
     /// prompt processed again for about a second, so it confirms the loss before it leaves: a full
     /// engine may be late with its state, and others that are as full refuse the run.
-    pub async fn is_surely_lost(self: &Rc<Traffic>, worker: &Rc<Worker>) -> bool {
+    pub async fn is_confirmed_lost(self: &Rc<Traffic>, worker: &Rc<Worker>) -> bool {
         let id = Arc::clone(&worker.upstream.id);
-        let running = self.second_probes.borrow().get(&id).cloned();
-        let mut answer = running.unwrap_or_else(|| self.start_second_probe(worker));
-        let answered = answer.wait_for(Option::is_some).await;
-        answered.is_ok_and(|answer| matches!(*answer, Some(Life::Lost)))
+        let existing = self.second_probes.borrow().get(&id).cloned();
+        let mut probe = existing.unwrap_or_else(|| self.start_second_probe(worker));
+        let finished = probe.wait_for(Option::is_some).await;
+        finished.is_ok_and(|liveness| matches!(*liveness, Some(Liveness::Lost)))
     }
 
     fn start_second_probe(self: &Rc<Traffic>, worker: &Rc<Worker>) -> Probe {
-        let (tell, answer) = watch::channel(None);
+        let (result, probe) = watch::channel(None);
         let id = Arc::clone(&worker.upstream.id);
-        self.second_probes.borrow_mut().insert(Arc::clone(&id), answer.clone());
+        self.second_probes.borrow_mut().insert(Arc::clone(&id), probe.clone());
         let traffic = Rc::clone(self);
         let worker = Rc::clone(worker);
         tokio::task::spawn_local(async move {
-            let limit = Duration::from_millis(SECOND_TIMEOUT_MS);
-            let asked = tokio::time::timeout(limit, traffic.ask_state(&worker)).await;
+            let limit = Duration::from_millis(SECOND_PROBE_TIMEOUT_MS);
+            let queried = tokio::time::timeout(limit, traffic.query_state(&worker)).await;
             traffic.second_probes.borrow_mut().remove(&id);
-            let life = match asked {
-                Ok(Ok(state)) => Life::Lives(Arc::new(state)),
-                Ok(Err(Fault::Refused | Fault::Unreachable { .. })) | Err(_) => Life::Lost,
-                Ok(Err(_)) => Life::Unasked,
+            let liveness = match queried {
+                Ok(Ok(state)) => Liveness::Alive(Arc::new(state)),
+                Ok(Err(Fault::Refused | Fault::Unreachable { .. })) | Err(_) => Liveness::Lost,
+                Ok(Err(_)) => Liveness::Inconclusive,
             };
             slog::info!(traffic.log, "second liveness probe completed";
-                "upstream" => &*id, "lives" => matches!(life, Life::Lives(_)));
-            if let Life::Lives(state) = &life {
-                traffic.note_life(&worker, state);
+                "upstream" => &*id, "lives" => matches!(liveness, Liveness::Alive(_)));
+            if let Liveness::Alive(state) = &liveness {
+                traffic.note_alive_state(&worker, state);
             }
-            tell.send_replace(Some(life));
+            result.send_replace(Some(liveness));
         });
-        answer
+        probe
     }
 
     pub(super) fn start_probe(self: &Rc<Traffic>, worker: &Rc<Worker>) -> Probe {
-        let (tell, answer) = watch::channel(None);
+        let (result, probe) = watch::channel(None);
         let id = Arc::clone(&worker.upstream.id);
-        self.probes.borrow_mut().insert(Arc::clone(&id), answer.clone());
+        self.probes.borrow_mut().insert(Arc::clone(&id), probe.clone());
         let traffic = Rc::clone(self);
         let worker = Rc::clone(worker);
         tokio::task::spawn_local(async move {
-            let life = traffic.shows_life(&worker).await;
+            let liveness = traffic.check_liveness(&worker).await;
             traffic.probes.borrow_mut().remove(&id);
             slog::info!(traffic.log, "liveness probe completed"; "upstream" => &*id,
-                "lives" => matches!(life, Life::Lives(_)));
-            match &life {
-                Life::Lives(state) => traffic.note_life(&worker, state),
-                Life::Lost => traffic.lost(&worker, "its liveness probe failed"),
-                Life::Unasked => {}
+                "lives" => matches!(liveness, Liveness::Alive(_)));
+            match &liveness {
+                Liveness::Alive(state) => traffic.note_alive_state(&worker, state),
+                Liveness::Lost => traffic.mark_lost(&worker, "its liveness probe failed"),
+                Liveness::Inconclusive => {}
             }
-            tell.send_replace(Some(life));
+            result.send_replace(Some(liveness));
         });
-        answer
+        probe
     }
 
     /// Records that an engine is alive, or that it has restarted since it was listed.
-    fn note_life(&self, worker: &Worker, state: &EngineState) {
+    fn note_alive_state(&self, worker: &Worker, state: &EngineState) {
         let listed = worker.upstream.born_ms;
         if matches!((listed, state.born_ms), (Some(listed), Some(born)) if born > listed) {
-            return self.replaced(worker);
+            return self.mark_replaced(worker);
         }
         worker.answered(self.now_ms());
     }
@@ -152,54 +152,56 @@
     /// Probes an engine; an event received from any of its runs meanwhile also shows that it is
     /// alive. A full engine is late with its state, and this instance may have no connection left
     /// for the query; runs must not leave the engine because of that.
-    async fn shows_life(&self, worker: &Rc<Worker>) -> Life {
-        match self.told_state(worker).await {
-            Life::Lost if worker.is_heard(STATE_TIMEOUT_MS, self.now_ms()) => {
-                Life::Lives(Arc::default())
+    async fn check_liveness(&self, worker: &Rc<Worker>) -> Liveness {
+        match self.query_liveness(worker).await {
+            Liveness::Lost if worker.is_heard(STATE_QUERY_TIMEOUT_MS, self.now_ms()) => {
+                Liveness::Alive(Arc::default())
             }
-            life => life,
+            liveness => liveness,
         }
     }
 
     /// Queries an engine's state. Repeats the query if this process was stalled meanwhile, or if
     /// the connection was reset, which may happen to a reused one because of its age.
-    async fn told_state(&self, worker: &Rc<Worker>) -> Life {
-        let limit = Duration::from_millis(STATE_TIMEOUT_MS);
-        let mut told = Life::Lost;
-        for _ in 0..STATE_TRIES {
-            let asked_ms = self.now_ms();
-            match tokio::time::timeout(limit, self.ask_state(worker)).await {
-                Ok(Ok(state)) => return Life::Lives(Arc::new(state)),
-                Ok(Err(Fault::Refused | Fault::Unreachable { .. })) => return Life::Lost,
-                Ok(Err(_)) => told = Life::Unasked,
-                Err(_) if self.now_ms() <= asked_ms + STATE_TIMEOUT_MS + OWN_LAG_MS => {
-                    return Life::Lost;
+    async fn query_liveness(&self, worker: &Rc<Worker>) -> Liveness {
+        let limit = Duration::from_millis(STATE_QUERY_TIMEOUT_MS);
+        let mut liveness = Liveness::Lost;
+        for _ in 0..MAX_STATE_QUERIES {
+            let queried_ms = self.now_ms();
+            match tokio::time::timeout(limit, self.query_state(worker)).await {
+                Ok(Ok(state)) => return Liveness::Alive(Arc::new(state)),
+                Ok(Err(Fault::Refused | Fault::Unreachable { .. })) => return Liveness::Lost,
+                Ok(Err(_)) => liveness = Liveness::Inconclusive,
+                Err(_)
+                    if self.now_ms() <= queried_ms + STATE_QUERY_TIMEOUT_MS + MAX_TIMER_LAG_MS =>
+                {
+                    return Liveness::Lost;
                 }
                 Err(_) => {}
             }
         }
-        told
+        liveness
     }
 
     /// Any response shows that the engine is alive; one that is no valid state counts as the
     /// default.
-    async fn ask_state(&self, worker: &Rc<Worker>) -> Result<EngineState, Fault> {
+    async fn query_state(&self, worker: &Rc<Worker>) -> Result<EngineState, Fault> {
         let path = self.dialect.state_path();
-        let (_, body) = self.ask(worker, Method::GET, path, Bytes::new()).await?;
+        let (_, body) = self.call_engine(worker, Method::GET, path, Bytes::new()).await?;
         Ok(self.dialect.engine_state(&body).unwrap_or_default())
     }
 
     /// Marks an upstream as gone or not responding, and notifies peers at once.
-    pub fn lost(&self, worker: &Worker, why: &str) {
+    pub fn mark_lost(&self, worker: &Worker, why: &str) {
         let now_ms = self.now_ms();
         let is_new = !worker.is_lost(now_ms);
         worker.lost(now_ms);
         if !is_new {
             return;
         }
-        self.losses.borrow_mut().note(&worker.upstream.id, loss_of(worker, now_ms, true));
+        self.losses.borrow_mut().note(&worker.upstream.id, new_loss(worker, now_ms, true));
         self.outages.borrow_mut().note_lost(&worker.upstream.service, now_ms);
-        self.tell_peers();
+        self.notify_peers();
         self.metrics.count("upstreams_lost");
         slog::warn!(self.log, "upstream lost"; "upstream" => &*worker.upstream.id,
             "domain" => &*worker.upstream.domain, "why" => why);
@@ -207,22 +209,22 @@
 
     /// Marks an upstream as replaced because another incarnation has its address. However long the
     /// directory still lists it, it receives nothing more and peers are told that it is lost.
-    pub fn replaced(&self, worker: &Worker) {
+    pub fn mark_replaced(&self, worker: &Worker) {
         worker.replace();
-        self.lost(worker, "another upstream has its address");
+        self.mark_lost(worker, "another upstream has its address");
     }
 
     /// Records that no connection to an upstream could be opened.
-    pub fn no_channel(&self, worker: &Worker, fault: &channel::Fault) {
+    pub fn note_connect_failure(&self, worker: &Worker, fault: &channel::Fault) {
         match fault {
-            channel::Fault::Refused => self.lost(worker, "connection refused"),
-            channel::Fault::Unreachable { .. } => self.lost(worker, "connection timed out"),
+            channel::Fault::Refused => self.mark_lost(worker, "connection refused"),
+            channel::Fault::Unreachable { .. } => self.mark_lost(worker, "connection timed out"),
             _ => worker.broke(self.now_ms()),
         }
     }
 
     /// Takes in the losses that peers reported; they count towards correlated losses.
-    pub(super) fn hear_losses(
+    pub(super) fn merge_peer_losses(
         &self,
         view: &View,
         workers: &BTreeMap<Arc<str>, Rc<Worker>>,
@@ -233,7 +235,7 @@
         losses.forget(now_ms, is_final);
         for id in view.lost.iter() {
             let Some(worker) = workers.get(id) else { continue };
-            losses.hear(id, loss_of(worker, now_ms, false));
+            losses.hear(id, new_loss(worker, now_ms, false));
         }
     }
 
@@ -242,17 +244,17 @@
     pub fn is_lost(&self, worker: &Worker, now_ms: u64) -> bool {
         worker.is_replaced()
             || worker.is_suspect(now_ms)
-            || self.losses.borrow().is_lost(subject(worker))
+            || self.losses.borrow().is_lost(loss_subject(worker))
     }
 
     /// Records an outage if all upstreams of a service are lost or gone; returns whether they are.
-    fn note_if_down(&self, service: &Arc<str>) -> bool {
+    fn note_outage_if_down(&self, service: &Arc<str>) -> bool {
         let now_ms = self.now_ms();
         let workers = self.workers.borrow();
-        let is_there = |worker: &&Rc<Worker>| {
+        let is_available = |worker: &&Rc<Worker>| {
             worker.upstream.service == *service && worker.takes_work() && !worker.is_lost(now_ms)
         };
-        if workers.values().any(|worker| is_there(&worker)) {
+        if workers.values().any(|worker| is_available(&worker)) {
             return false;
         }
         self.outages.borrow_mut().note_down(service, now_ms);
@@ -261,8 +263,8 @@
 
     /// How long a caller with `left_ms` until its deadline should wait before it retries, if the
     /// service has no upstream.
-    pub fn retry_after_ms(&self, service: &Arc<str>, left_ms: u64) -> Option<u64> {
-        if !self.note_if_down(service) || !Mechanism::RetryAfter.is_on() {
+    pub fn outage_retry_after_ms(&self, service: &Arc<str>, left_ms: u64) -> Option<u64> {
+        if !self.note_outage_if_down(service) || !Mechanism::RetryAfter.is_on() {
             return None;
         }
         let mut random = fastrand::Rng::new();
@@ -271,21 +273,21 @@
 
     /// Whether an upstream was lost, or is suspected because of correlated losses in its failure
     /// domain.
-    pub fn is_doubtful(&self, worker: &Worker, now_ms: u64) -> bool {
-        let is_falling = || {
+    pub fn is_suspected(&self, worker: &Worker, now_ms: u64) -> bool {
+        let has_correlated_losses = || {
             Mechanism::Doubt.is_on()
-                && self.losses.borrow().is_domain_falling(subject(worker), now_ms)
+                && self.losses.borrow().is_domain_falling(loss_subject(worker), now_ms)
         };
-        self.is_lost(worker, now_ms) || is_falling()
+        self.is_lost(worker, now_ms) || has_correlated_losses()
     }
 }
 
-fn loss_of(worker: &Worker, at_ms: u64, is_own: bool) -> Loss {
+fn new_loss(worker: &Worker, at_ms: u64, is_own: bool) -> Loss {
     let Upstream { service, domain, .. } = &worker.upstream;
     Loss { service: Arc::clone(service), domain: Arc::clone(domain), at_ms, is_own }
 }
 
-fn subject(worker: &Worker) -> Subject<'_> {
+fn loss_subject(worker: &Worker) -> Subject<'_> {
     Subject {
         id: &worker.upstream.id,
         service: &worker.upstream.service,
--- a/src/gateway/traffic/quarantine.rs
+++ b/src/gateway/traffic/quarantine.rs
@@ -13,14 +13,14 @@
 use super::Traffic;
 
 /// How long after a verdict on a crash the traffic thread of this instance has received it.
-const TOLD_MS: u64 = 50;
+const VERDICT_DELIVERY_MS: u64 = 50;
 /// How long a request waits after a crash before it resumes, if the verdict may quarantine it.
-pub(in super::super) const JUDGED_MS: u64 = SETTLE_MS + TOLD_MS;
+pub(in super::super) const VERDICT_WAIT_MS: u64 = SETTLE_MS + VERDICT_DELIVERY_MS;
 
 impl Traffic {
     /// What the quarantine knows of a request. Computes no fingerprint while the quarantine is
     /// empty.
-    fn suspect(&self, job: &Job) -> Option<Suspect> {
+    fn quarantine_entry(&self, job: &Job) -> Option<Suspect> {
         let view = self.shared.view.load();
         if view.quarantine.is_empty() {
             return None;
@@ -30,12 +30,12 @@
 
     /// How long the request is still quarantined, if it is.
     pub fn quarantine_left_ms(&self, job: &Job) -> Option<u64> {
-        let until_ms = self.suspect(job)?.until_ms?;
+        let until_ms = self.quarantine_entry(job)?.until_ms?;
         until_ms.checked_sub(self.now_ms()).filter(|left_ms| *left_ms > 0)
     }
 
     /// Completes when the request is quarantined, which may never happen.
-    pub async fn is_quarantined(&self, job: &Job) {
+    pub async fn wait_until_quarantined(&self, job: &Job) {
         let mut changed = self.shared.quarantined.subscribe();
         while self.quarantine_left_ms(job).is_none() {
             if changed.changed().await.is_err() {
@@ -48,15 +48,15 @@
     /// Refuses a quarantined request that was not sent to any upstream.
     pub fn refuse_quarantined(&self, job: &Job) -> Answer {
         let failure = Failure::Quarantined { fingerprint: job.fingerprint() };
-        let after_ms = self.comes_back_ms(job, &failure);
-        self.refuse(job, &failure, after_ms)
+        let retry_after_ms = self.retry_after_ms(job, &failure);
+        self.refuse(job, &failure, retry_after_ms)
     }
 
     /// Whether one more crash may quarantine a request, given `points` of crashes that have no
     /// verdict yet.
     pub fn may_be_quarantined(&self, job: &Job, points: u32) -> bool {
-        let known = self.suspect(job).unwrap_or_default().points;
-        quarantine::may_follow(known + points)
+        let counted = self.quarantine_entry(job).unwrap_or_default().points;
+        quarantine::may_follow(counted + points)
     }
 
     /// Reports that an upstream closed a connection during a request, if its process turns out to
@@ -78,12 +78,12 @@
             event,
             at_ms: self.now_ms(),
         };
-        self.crashed_ms.set(Some(crash.at_ms));
-        let mut check = self.check_ending(worker);
+        self.last_crash_ms.set(Some(crash.at_ms));
+        let mut check = self.check_exit(worker);
         let traffic = Rc::clone(self);
         tokio::task::spawn_local(async move {
-            let has_ended = check.wait_for(Option::is_some).await;
-            if has_ended.is_ok_and(|has_ended| *has_ended == Some(true)) {
+            let has_exited = check.wait_for(Option::is_some).await;
+            if has_exited.is_ok_and(|has_exited| *has_exited == Some(true)) {
                 traffic.shared.report(Report::Crash(crash));
             }
         });
@@ -92,8 +92,10 @@
     /// Reports that a request was served, completely or up to an event, if crashes count against it
     /// or await a verdict.
     pub fn note_served(&self, job: &Job, event: Option<u64>) {
-        let has_unjudged = |at_ms| at_ms + JUDGED_MS > self.now_ms();
-        if self.suspect(job).is_some() || self.crashed_ms.get().is_some_and(has_unjudged) {
+        let awaits_verdict = |at_ms| at_ms + VERDICT_WAIT_MS > self.now_ms();
+        if self.quarantine_entry(job).is_some()
+            || self.last_crash_ms.get().is_some_and(awaits_verdict)
+        {
             self.shared.report(Report::Served(job.fingerprint(), event));
         }
     }
--- a/src/gateway/traffic/signals.rs
+++ b/src/gateway/traffic/signals.rs
@@ -18,40 +18,41 @@
 const PERMIT_TIMEOUT_MS: u64 = 60;
 /// How long an upstream is throttled if the owner of its bucket does not answer. The owner may have
 /// died, which is known within a second or two.
-const UNANSWERED_MS: u64 = 250;
+const UNANSWERED_THROTTLE_MS: u64 = 250;
 /// Range of the random delay that spreads the retries of callers that were refused because all
 /// upstreams were throttled.
-const COME_BACK_OVER_MS: u64 = 500;
+const MAX_RETRY_JITTER_MS: u64 = 500;
 
 impl Traffic {
     /// Processes what an upstream's response says about the upstream itself.
-    pub fn note_signals(&self, worker: &Worker, status: u16, marks: &Marks) {
+    pub fn note_response_metadata(&self, worker: &Worker, status: u16, metadata: &Marks) {
         // This response comes from another upstream at the address and describes that one.
         if status == 421 {
             return;
         }
-        if let Some(load) = marks.load {
+        if let Some(load) = metadata.load {
             worker.tell(load, self.now_ms());
         }
         let is_refusal = matches!(status, 429 | 503);
-        if let Some(after_ms) = marks.retry_after_ms.filter(|after_ms| is_refusal && *after_ms > 0)
+        if let Some(after_ms) =
+            metadata.retry_after_ms.filter(|after_ms| is_refusal && *after_ms > 0)
         {
             self.note_backoff(worker, after_ms);
         }
-        if marks.rate_limit.is_none() {
+        if metadata.rate_limit.is_none() {
             self.set_rate_limit(worker, None, self.now_ms(), "its response");
         }
-        self.note_bounds(worker, marks);
+        self.note_announced_limits(worker, metadata);
     }
 
     /// Processes the limits that a response announces. They hold in a response to another request
     /// as well; such a response may be old, so it lifts no limit.
-    pub fn note_bounds(&self, worker: &Worker, marks: &Marks) {
-        if marks.is_leaving && worker.note_said_leaving() {
+    pub fn note_announced_limits(&self, worker: &Worker, metadata: &Marks) {
+        if metadata.is_leaving && worker.note_said_leaving() {
             self.log_leaving(worker, "its response");
             self.shared.signal(Signal::Departure(Departure::of(&worker.upstream)));
         }
-        if let Some(rate) = marks.rate_limit {
+        if let Some(rate) = metadata.rate_limit {
             self.set_rate_limit(worker, Some(rate), self.now_ms(), "its response");
             self.shared.signal(Signal::Rate(Arc::clone(&worker.upstream.id), rate));
         }
@@ -64,7 +65,7 @@
     }
 
     /// Applies which upstreams announced to any instance that they are leaving.
-    pub(super) fn follow_departures(&self, departures: &Departures) {
+    pub(super) fn apply_departures(&self, departures: &Departures) {
         for worker in self.workers.borrow().values() {
             if departures.holds(&worker.upstream) && worker.note_said_leaving() {
                 self.log_leaving(worker, "a peer");
@@ -85,12 +86,12 @@
 
     /// Records the rate limit that an upstream announced; `by` names the source in the log.
     fn set_rate_limit(&self, worker: &Worker, rate: Option<Rate>, at_ms: u64, by: &'static str) {
-        let before = worker.set_rate_limit(rate, at_ms);
+        let previous = worker.set_rate_limit(rate, at_ms);
         let now = worker.rate_limit();
-        if before != now {
+        if previous != now {
             slog::info!(self.log, "upstream changed its rate limit";
                 "upstream" => &*worker.upstream.id, "service" => &*worker.upstream.service,
-                "per_s" => now.map(Rate::as_per_s), "before_per_s" => before.map(Rate::as_per_s),
+                "per_s" => now.map(Rate::as_per_s), "before_per_s" => previous.map(Rate::as_per_s),
                 "by" => by);
         }
     }
@@ -106,7 +107,7 @@
     /// Whether a request may be sent to an upstream now; if so, the caller of this function has to
     /// send it. An upstream with a rate limit that grants no permit is throttled until this
     /// instance's turn.
-    pub async fn admits(&self, worker: &Worker) -> bool {
+    pub async fn try_admit(&self, worker: &Worker) -> bool {
         if worker.is_throttled(self.now_ms()) {
             return false;
         }
@@ -121,7 +122,7 @@
             Ok(Ok(Permit::Wait { after_ms })) => after_ms,
             Ok(Err(_)) | Err(_) => {
                 self.metrics.count("permits_unanswered");
-                UNANSWERED_MS
+                UNANSWERED_THROTTLE_MS
             }
         };
         worker.throttle(self.now_ms() + after_ms);
@@ -132,12 +133,12 @@
     /// How long a caller should wait before it retries if all upstreams of a service are throttled:
     /// until one of them accepts work again, plus a random delay so that callers don't return all
     /// at once.
-    pub(super) fn comes_back_to_throttled_ms(&self, service: &str) -> Option<u64> {
-        Some(self.throttled_ms(service)? + fastrand::u64(..COME_BACK_OVER_MS))
+    pub(super) fn throttled_retry_after_ms(&self, service: &str) -> Option<u64> {
+        Some(self.throttled_for_ms(service)? + fastrand::u64(..MAX_RETRY_JITTER_MS))
     }
 
     /// How long until an upstream of a service accepts work again, if all of them are throttled.
-    pub fn throttled_ms(&self, service: &str) -> Option<u64> {
+    pub fn throttled_for_ms(&self, service: &str) -> Option<u64> {
         let now_ms = self.now_ms();
         let workers = self.workers.borrow();
         let living = workers.values().filter(|worker| {
