--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -14,8 +14,8 @@
 
 use tokio::sync::{mpsc, oneshot};
 
-use self::attempt::Opened;
-use self::copy::{CopyAt, NewCopy};
+use self::attempt::OpenResponse;
+use self::copy::{FinishedCopy, RunCopy};
 use super::ablation::Mechanism;
 use super::answer::{self, Answer, Cut, Part};
 use super::dialect::Copy;
@@ -32,14 +32,14 @@
 /// Initial delay before another attempt when no engine accepts the rest of a response, doubled each
 /// time. All engines are tried again then, including those that the run left: the few that are
 /// still alive are full.
-const LOOK_AGAIN_MS: u64 = 50;
+const MIN_RETRY_DELAY_MS: u64 = 50;
 /// Maximum of this delay: a run that lost its engine resumes within a second of an engine becoming
 /// free.
-const LOOK_AGAIN_MOST_MS: u64 = 800;
+const MAX_RETRY_DELAY_MS: u64 = 800;
 /// How long a run avoids a failure domain in which it lost an engine. Engines that crashed are back
 /// after about 1.2 s, and if one domain of three were avoided for longer, copies would lie in the
 /// same domain as their runs at the next loss.
-const AVOID_MS: u64 = 1_500;
+const DOMAIN_AVOIDANCE_MS: u64 = 1_500;
 
 /// Serves a stream. Returns the head of the response, whose body is sent as events arrive.
 pub async fn serve(traffic: &Rc<Traffic>, job: Job) -> Answer {
@@ -69,31 +69,31 @@
     /// The response is complete, or the caller was sent an upstream's error.
     Done,
     /// The caller disconnected.
-    CallerLeft,
+    CallerDisconnected,
     /// The request certainly did not run there.
-    NotRun { why: Refused },
+    NotRun { why: NotRunReason },
     /// The run lost its engine, and resumes elsewhere if the route allows that.
-    Lost { why: String, loss: Loss },
+    Lost { why: String, cause: LossCause },
     /// Another engine has taken over the run.
-    Moved(Box<Opened>),
+    Moved(Box<OpenResponse>),
     /// The deadline has passed.
-    TimeOver,
+    DeadlinePassed,
     /// The retry budget of all instances is exhausted.
-    OverBudget,
+    RetryBudgetExhausted,
 }
 
 /// How far a run has come at one engine.
 #[derive(Debug, Clone, Copy, Default)]
 struct Progress {
     /// When the response head arrived, with which the run starts there.
-    answers_since_ms: Option<u64>,
+    response_started_ms: Option<u64>,
     /// Events of the run that the engine has sent.
     events: u64,
 }
 
 /// A crash of an engine during the run that may have no verdict yet.
 #[derive(Debug, Clone, Copy)]
-struct Unjudged {
+struct UnjudgedCrash {
     at_ms: u64,
     /// Points that the crash counts against the request.
     points: u32,
@@ -101,25 +101,25 @@
 
 /// How a run lost its engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Loss {
+enum LossCause {
     /// The engine closed the connection before the end of the response, as an exiting process does.
-    BrokeOff,
+    ConnectionClosed,
     /// The engine stopped responding.
     Silent,
     /// The engine is alive, but the run left it or its response is unusable.
-    Left,
+    EngineAlive,
 }
 
-impl Loss {
+impl LossCause {
     /// Whether the engine itself is gone.
     fn is_engine_gone(self) -> bool {
-        self != Loss::Left
+        self != LossCause::EngineAlive
     }
 }
 
 /// Why a request certainly did not run at an engine.
 #[derive(Debug, Clone, PartialEq, Eq, derive_more::Display)]
-enum Refused {
+enum NotRunReason {
     /// The request was not sent.
     #[display("{_0}")]
     NotSent(String),
@@ -134,78 +134,80 @@
 struct Run {
     traffic: Rc<Traffic>,
     job: Rc<Job>,
-    head: Option<oneshot::Sender<Answer>>,
-    body: Option<mpsc::Sender<Part>>,
+    response_tx: Option<oneshot::Sender<Answer>>,
+    body_tx: Option<mpsc::Sender<Part>>,
     last_event: Option<u64>,
     last_event_ms: u64,
-    first_ms: Option<u64>,
+    first_event_ms: Option<u64>,
     longest_gap_ms: u64,
-    lost_ms: Option<u64>,
+    engine_lost_ms: Option<u64>,
     /// How far the run has come at its current engine.
-    here: Progress,
+    progress: Progress,
     /// Crashes during the run that may have no verdict yet.
-    crashes: Vec<Unjudged>,
+    unjudged_crashes: Vec<UnjudgedCrash>,
     /// The last event before the latest crash. Some events later, the crashes are cleared.
-    crashed_at: Option<u64>,
+    last_crash_event: Option<u64>,
     may_have_run: bool,
     /// Attempts that count against the route's maximum.
-    sent: u32,
+    attempts: u32,
     /// Requests that reached an engine. All but the first take a retry from the budget.
-    arrived: u32,
+    delivered: u32,
     /// Whether a retry was taken for the next attempt before the run left an engine that is alive.
-    has_repeat: bool,
+    has_taken_retry: bool,
     /// Whether the caller reconnected after the loss of all instances, so that the allowed gap
     /// between events is exceeded already.
     is_late: bool,
-    stuck_moves: u32,
-    look_again_ms: u64,
-    left: Vec<Arc<str>>,
+    stall_handovers: u32,
+    retry_delay_ms: u64,
+    /// Engines that the next attempt must not use.
+    excluded: Vec<Arc<str>>,
+    /// Failure domains in which the run lost engines, and when.
     lost_domains: Vec<(Arc<str>, u64)>,
-    copy: Option<CopyAt>,
-    copying: Option<oneshot::Receiver<Option<NewCopy>>>,
-    copy_again_ms: u64,
+    copy: Option<RunCopy>,
+    pending_copy: Option<oneshot::Receiver<Option<FinishedCopy>>>,
+    next_copy_ms: u64,
 }
 
 impl Run {
-    fn new(traffic: &Rc<Traffic>, job: Rc<Job>, head: oneshot::Sender<Answer>) -> Run {
+    fn new(traffic: &Rc<Traffic>, job: Rc<Job>, response_tx: oneshot::Sender<Answer>) -> Run {
         Run {
             last_event: job.demand.last_event,
             last_event_ms: traffic.now_ms(),
             traffic: Rc::clone(traffic),
             job,
-            head: Some(head),
-            body: None,
-            first_ms: None,
+            response_tx: Some(response_tx),
+            body_tx: None,
+            first_event_ms: None,
             longest_gap_ms: 0,
-            lost_ms: None,
-            here: Progress::default(),
-            crashes: Vec::new(),
-            crashed_at: None,
+            engine_lost_ms: None,
+            progress: Progress::default(),
+            unjudged_crashes: Vec::new(),
+            last_crash_event: None,
             may_have_run: false,
-            sent: 0,
-            arrived: 0,
-            has_repeat: false,
+            attempts: 0,
+            delivered: 0,
+            has_taken_retry: false,
             is_late: false,
-            stuck_moves: 0,
-            look_again_ms: LOOK_AGAIN_MS,
-            left: Vec::new(),
+            stall_handovers: 0,
+            retry_delay_ms: MIN_RETRY_DELAY_MS,
+            excluded: Vec::new(),
             lost_domains: Vec::new(),
             copy: None,
-            copying: None,
-            copy_again_ms: 0,
+            pending_copy: None,
+            next_copy_ms: 0,
         }
     }
 
     async fn drive(&mut self) {
-        if !self.come_back().await {
-            return self.give_up(self.time_over());
+        if !self.prepare_resumption().await {
+            return self.give_up(self.deadline_failure());
         }
         loop {
             if self.traffic.now_ms() >= self.job.until_ms {
-                return self.give_up(self.time_over());
+                return self.give_up(self.deadline_failure());
             }
-            let Some((worker, copy)) = self.place() else {
-                if self.arrived == 0 {
+            let Some((worker, copy)) = self.choose_engine() else {
+                if self.delivered == 0 {
                     return self.give_up(Failure::NoUpstream);
                 }
                 if !self.may_have_run {
@@ -213,14 +215,14 @@
                     // nothing.
                     return self.give_up(Failure::Full);
                 }
-                if !self.wait_for_room().await {
+                if !self.wait_to_retry().await {
                     return;
                 }
-                self.left.clear();
+                self.excluded.clear();
                 continue;
             };
-            let (worker, outcome) = self.play(worker, copy).await;
-            if !self.goes_on(&worker, outcome).await {
+            let (worker, outcome) = self.run_attempt(worker, copy).await;
+            if !self.handle_outcome(&worker, outcome).await {
                 return;
             }
         }
@@ -228,7 +230,11 @@
 
     /// Makes an attempt, and follows the run while other engines take it over. Returns the last
     /// engine.
-    async fn play(&mut self, worker: Rc<Worker>, copy: Option<Copy>) -> (Rc<Worker>, Outcome) {
+    async fn run_attempt(
+        &mut self,
+        worker: Rc<Worker>,
+        copy: Option<Copy>,
+    ) -> (Rc<Worker>, Outcome) {
         let mut worker = worker;
         let mut outcome = self.attempt(&worker, copy).await;
         while let Outcome::Moved(opened) = outcome {
@@ -241,22 +247,22 @@
     /// Finds the cached prompt of a caller that reconnects after the loss of all instances. If its
     /// prompt has to be processed again, other requests go first. Returns false if the caller has
     /// disconnected or the deadline has passed.
-    async fn come_back(&mut self) -> bool {
-        let part = self.part().filter(|_| self.last_event.is_some());
-        if let Some(part) = part {
-            self.traffic.resolve_cache_location(&self.job.service, part).await;
+    async fn prepare_resumption(&mut self) -> bool {
+        let prefix = self.own_prefix().filter(|_| self.last_event.is_some());
+        if let Some(prefix) = prefix {
+            self.traffic.resolve_cache_location(&self.job.service, prefix).await;
         }
-        let Some(part) = part.filter(|part| self.traffic.needs_cache_lookup(*part)) else {
+        let Some(prefix) = prefix.filter(|prefix| self.traffic.needs_cache_lookup(*prefix)) else {
             return true;
         };
         self.is_late = true;
-        self.traffic.look_up_cache(&self.job.service, part).await;
-        self.traffic.cache_location(part).is_some() || self.let_others_go_first().await
+        self.traffic.look_up_cache(&self.job.service, prefix).await;
+        self.traffic.cache_location(prefix).is_some() || self.yield_to_timely_requests().await
     }
 
     /// Waits while requests that can still be on time need the engines. Returns false if the caller
     /// has disconnected or the deadline has passed.
-    async fn let_others_go_first(&mut self) -> bool {
+    async fn yield_to_timely_requests(&mut self) -> bool {
         let late = admission::Late { since_ms: self.job.since_ms, until_ms: self.job.until_ms };
         loop {
             if !self.wait(fastrand::u64(..admission::LOOK_MS)).await {
@@ -269,29 +275,31 @@
     }
 
     /// The failure once the deadline has passed. What every engine refused has certainly not run.
-    fn time_over(&self) -> Failure {
+    fn deadline_failure(&self) -> Failure {
         if self.may_have_run { Failure::TimeOver } else { Failure::TimeOverUnsent }
     }
 
     /// Handles the outcome of an attempt; returns whether to make another one.
-    async fn goes_on(&mut self, worker: &Rc<Worker>, outcome: Outcome) -> bool {
+    async fn handle_outcome(&mut self, worker: &Rc<Worker>, outcome: Outcome) -> bool {
         let now_ms = self.traffic.now_ms();
         let id = &worker.upstream.id;
         match outcome {
-            // Takeovers were followed already.
+            // `run_attempt` has followed takeovers already.
             Outcome::Done | Outcome::Moved(_) => return false,
-            Outcome::CallerLeft => {
+            Outcome::CallerDisconnected => {
                 slog::info!(self.traffic.log, "caller disconnected"; "request" => self.job.id(),
                     "last_event" => self.last_event,
                     "ms" => now_ms - self.job.since_ms);
                 return false;
             }
-            Outcome::TimeOver => {
+            Outcome::DeadlinePassed => {
                 self.give_up(Failure::TimeOver);
                 return false;
             }
-            Outcome::OverBudget if self.body.is_some() => return self.wait_for_room().await,
-            Outcome::OverBudget => {
+            Outcome::RetryBudgetExhausted if self.body_tx.is_some() => {
+                return self.wait_to_retry().await;
+            }
+            Outcome::RetryBudgetExhausted => {
                 slog::warn!(self.traffic.log, "retry budget exhausted";
                     "request" => self.job.id(), "service" => &*self.job.service);
                 self.traffic.metrics.count("repeats_over_budget");
@@ -301,44 +309,45 @@
             Outcome::NotRun { why } => {
                 slog::info!(self.traffic.log, "engine did not run the request";
                     "request" => self.job.id(), "upstream" => &**id, "why" => %why);
-                self.left.push(Arc::clone(id));
+                self.excluded.push(Arc::clone(id));
                 self.copy = None;
-                return self.goes_on_unrun(&why).await;
+                return self.handle_not_run(&why).await;
             }
-            Outcome::Lost { why, loss } => {
+            Outcome::Lost { why, cause } => {
                 slog::warn!(self.traffic.log, "engine lost"; "request" => self.job.id(),
                     "upstream" => &**id, "domain" => &*worker.upstream.domain, "why" => why,
                     "last_event" => self.last_event, "quiet_ms" => now_ms - self.last_event_ms,
-                    "answering_ms" => self.here.answers_since_ms.map(|since_ms| now_ms - since_ms),
+                    "answering_ms" =>
+                        self.progress.response_started_ms.map(|since_ms| now_ms - since_ms),
                     "fingerprint" => %self.job.fingerprint());
                 self.may_have_run = true;
-                if loss.is_engine_gone() {
+                if cause.is_engine_gone() {
                     self.lost_domains.push((Arc::clone(&worker.upstream.domain), now_ms));
                     // An engine that ended by itself doesn't count as an attempt.
-                    self.sent = self.sent.saturating_sub(1).max(1);
+                    self.attempts = self.attempts.saturating_sub(1).max(1);
                 }
             }
         }
-        self.left.push(Arc::clone(id));
-        self.lost_ms.get_or_insert(now_ms);
+        self.excluded.push(Arc::clone(id));
+        self.engine_lost_ms.get_or_insert(now_ms);
         self.traffic.metrics.count("engines_lost");
-        let is_over = self.sent >= self.job.route.max_attempts;
+        let is_over = self.attempts >= self.job.route.max_attempts;
         if is_over || self.job.route.repeat != Repeat::Resumable {
             self.give_up(Failure::Unknown);
             return false;
         }
-        self.wait_for_judgement().await
+        self.wait_for_crash_verdicts().await
     }
 
     /// Handles an attempt that certainly did not run; returns whether to make another one.
-    async fn goes_on_unrun(&mut self, why: &Refused) -> bool {
-        let Refused::Status(_) = why else { return true };
-        if self.body.is_some() || self.may_have_run {
+    async fn handle_not_run(&mut self, why: &NotRunReason) -> bool {
+        let NotRunReason::Status(_) = why else { return true };
+        if self.body_tx.is_some() || self.may_have_run {
             // The request did not run there, so it doesn't count against the route's maximum.
-            self.sent -= 1;
-            return self.wait_for_room().await;
+            self.attempts -= 1;
+            return self.wait_to_retry().await;
         }
-        if self.sent < self.job.route.max_attempts {
+        if self.attempts < self.job.route.max_attempts {
             return true;
         }
         self.give_up(Failure::Full);
@@ -349,35 +358,36 @@
     /// exhausted. Without a delay, four engines refuse within 80 ms and the response is truncated;
     /// a little later one of their runs has ended. Returns false if the caller has disconnected or
     /// the deadline has passed.
-    async fn wait_for_room(&mut self) -> bool {
-        let pause_ms = self.look_again_ms;
-        self.look_again_ms = (pause_ms * 2).min(LOOK_AGAIN_MOST_MS);
+    async fn wait_to_retry(&mut self) -> bool {
+        let pause_ms = self.retry_delay_ms;
+        self.retry_delay_ms = (pause_ms * 2).min(MAX_RETRY_DELAY_MS);
         if self.wait(pause_ms).await {
             return true;
         }
-        self.give_up(self.time_over());
+        self.give_up(self.deadline_failure());
         false
     }
 
     /// Chooses the engine for the next attempt: the one with the copy, else the one that has the
     /// prompt cached, else the best one.
-    fn place(&mut self) -> Option<(Rc<Worker>, Option<Copy>)> {
-        self.take_finished_copy(self.traffic.now_ms());
+    fn choose_engine(&mut self) -> Option<(Rc<Worker>, Option<Copy>)> {
+        self.poll_pending_copy(self.traffic.now_ms());
         if let Some(copy) = self.copy.take()
-            && self.keeps_copy(&copy.worker)
+            && self.is_copy_usable(&copy.worker)
         {
             return Some((copy.worker, Some(copy.name)));
         }
-        if let Some(worker) = self.part().and_then(|part| self.traffic.cache_location(part))
-            && !self.left.contains(&worker.upstream.id)
-            && self.is_fit(&worker)
+        if let Some(worker) =
+            self.own_prefix().and_then(|prefix| self.traffic.cache_location(prefix))
+            && !self.excluded.contains(&worker.upstream.id)
+            && self.is_eligible(&worker)
         {
             return Some((worker, None));
         }
         let constraints = Constraints {
             need: self.need(),
-            not: self.left.clone(),
-            not_domains: self.lost_domains(),
+            not: self.excluded.clone(),
+            not_domains: self.avoided_domains(),
             apart_from: None,
             near: Some(Arc::clone(&self.traffic.settings.domain)),
         };
@@ -387,23 +397,24 @@
     }
 
     /// Failure domains in which the run recently lost an engine.
-    fn lost_domains(&self) -> Vec<Arc<str>> {
+    fn avoided_domains(&self) -> Vec<Arc<str>> {
         if !Mechanism::Avoid.is_on() {
             return Vec::new();
         }
         let now_ms = self.traffic.now_ms();
-        let recent = self.lost_domains.iter().filter(|(_, at_ms)| at_ms + AVOID_MS > now_ms);
+        let recent =
+            self.lost_domains.iter().filter(|(_, at_ms)| at_ms + DOMAIN_AVOIDANCE_MS > now_ms);
         recent.map(|(domain, _)| Arc::clone(domain)).collect()
     }
 
     /// How long the route allows the stream to be silent.
-    fn patience(&self) -> Patience {
+    fn silence_timeouts(&self) -> Patience {
         Patience::of(self.job.route.target_latency_ms, self.job.route.target_gap_ms)
     }
 
     /// The hash of the prompt's last part, which is the request's own.
-    fn part(&self) -> Option<u64> {
-        self.job.demand.prompt_parts.last().map(|part| part.hash)
+    fn own_prefix(&self) -> Option<u64> {
+        self.job.demand.prompt_parts.last().map(|prefix| prefix.hash)
     }
 
     /// What the run needs of an engine.
@@ -417,7 +428,7 @@
             Failure::Full | Failure::NoUpstream | Failure::TooManyRepeats if self.may_have_run => {
                 Failure::Unknown
             }
-            Failure::TimeOver if self.arrived == 0 => Failure::TimeOverUnsent,
+            Failure::TimeOver if self.delivered == 0 => Failure::TimeOverUnsent,
             Failure::NoUpstream if self.traffic.throttled_for_ms(&self.job.service).is_some() => {
                 Failure::Throttled
             }
@@ -425,19 +436,19 @@
         };
         let after_ms = self.traffic.retry_after_ms(&self.job, &failure);
         let answer = self.traffic.refuse(&self.job, &failure, after_ms);
-        if let Some(body) = self.body.take() {
+        if let Some(body_tx) = self.body_tx.take() {
             // Without the last chunk, the response can't be mistaken for a complete one.
             tokio::task::spawn_local(async move {
-                let _ = body.send(Err(Cut)).await;
+                let _ = body_tx.send(Err(Cut)).await;
             });
         }
-        self.answer(answer);
+        self.respond(answer);
     }
 
-    fn answer(&mut self, answer: Answer) {
-        if let Some(head) = self.head.take() {
+    fn respond(&mut self, answer: Answer) {
+        if let Some(response_tx) = self.response_tx.take() {
             // A caller that has disconnected needs no response.
-            let _ = head.send(answer);
+            let _ = response_tx.send(answer);
         }
     }
 
@@ -448,28 +459,28 @@
             return false;
         }
         tokio::select! {
-            () = caller_left(&mut self.head, &self.body) => false,
-            () = until(&self.traffic, now_ms + wait_ms) => true,
+            () = caller_disconnected(&mut self.response_tx, &self.body_tx) => false,
+            () = sleep_until(&self.traffic, now_ms + wait_ms) => true,
         }
     }
 }
 
-fn lost(why: impl Into<String>, loss: Loss) -> Outcome {
-    Outcome::Lost { why: why.into(), loss }
+fn lost_run(why: impl Into<String>, cause: LossCause) -> Outcome {
+    Outcome::Lost { why: why.into(), cause }
 }
 
 /// Completes when the caller has closed its connection.
-async fn caller_left(
-    head: &mut Option<oneshot::Sender<Answer>>,
-    body: &Option<mpsc::Sender<Part>>,
+async fn caller_disconnected(
+    response_tx: &mut Option<oneshot::Sender<Answer>>,
+    body_tx: &Option<mpsc::Sender<Part>>,
 ) {
-    match (head, body) {
-        (Some(head), _) => head.closed().await,
-        (None, Some(body)) => body.closed().await,
+    match (response_tx, body_tx) {
+        (Some(response_tx), _) => response_tx.closed().await,
+        (None, Some(body_tx)) => body_tx.closed().await,
         (None, None) => std::future::pending().await,
     }
 }
 
-async fn until(traffic: &Traffic, at_ms: u64) {
+async fn sleep_until(traffic: &Traffic, at_ms: u64) {
     traffic.clock.sleep_until(at_ms).await;
 }
--- a/src/gateway/stream/attempt.rs
+++ b/src/gateway/stream/attempt.rs
@@ -20,11 +20,13 @@
 use super::super::route::{Repeat, Route};
 use super::super::traffic::Liveness;
 use super::super::worker::{Count, Lease, What, Worker};
-use super::copy::Growing;
-use super::{Loss, Outcome, Progress, Refused, Run, caller_left, lost, until};
+use super::copy::GrowingCopy;
+use super::{
+    LossCause, NotRunReason, Outcome, Progress, Run, caller_disconnected, lost_run, sleep_until,
+};
 
 /// Maximum number of events buffered for a slow caller before backpressure slows its engine.
-const WAITING_EVENTS: usize = 16;
+const MAX_BUFFERED_EVENTS: usize = 16;
 /// The priority of a resumed run, ahead of all new ones.
 const RESUMED_PRIORITY: u8 = 0;
 /// The lowest priority that engines support.
@@ -32,11 +34,11 @@
 
 /// An engine's response whose head has arrived.
 #[derive(Debug)]
-pub(super) struct Opened {
+pub(super) struct OpenResponse {
     pub(super) worker: Rc<Worker>,
     pub(super) lease: Lease,
     pub(super) body: Incoming,
-    pub(super) marks: Marks,
+    pub(super) metadata: Marks,
     pub(super) silences: watch::Receiver<u64>,
     /// Counts the prompt as being processed until the first event.
     pub(super) reading: Option<Count>,
@@ -57,86 +59,86 @@
         &mut self,
         worker: &Rc<Worker>,
         from: Option<Copy>,
-    ) -> Result<Opened, Outcome> {
+    ) -> Result<OpenResponse, Outcome> {
         let traffic = Rc::clone(&self.traffic);
-        self.here = Progress::default();
+        self.progress = Progress::default();
         let mut silences = worker.silences.subscribe();
         silences.mark_unchanged();
         if !traffic.try_admit(worker).await {
             return Err(Outcome::NotRun {
-                why: Refused::NotSent("the upstream is throttled".to_owned()),
+                why: NotRunReason::NotSent("the upstream is throttled".to_owned()),
             });
         }
-        let most = traffic.channel_share(&self.job.service);
-        let mut lease = match worker.lease(most, traffic.now_ms()).await {
+        let max_channels = traffic.channel_share(&self.job.service);
+        let mut lease = match worker.lease(max_channels, traffic.now_ms()).await {
             Ok(lease) => lease,
             Err(fault) => {
                 traffic.note_connect_failure(worker, &fault);
                 slog::info!(traffic.log, "no channel"; "request" => self.job.id(),
                     "upstream" => &*worker.upstream.id, "detail" => %fault);
-                return Err(Outcome::NotRun { why: Refused::NotSent(fault.to_string()) });
+                return Err(Outcome::NotRun { why: NotRunReason::NotSent(fault.to_string()) });
             }
         };
         // Only a request that is really sent again takes a retry from the budget.
-        if self.arrived > 0 && !self.take_repeat() {
+        if self.delivered > 0 && !self.take_retry() {
             worker.give_back(lease, None, traffic.now_ms());
-            return Err(Outcome::OverBudget);
+            return Err(Outcome::RetryBudgetExhausted);
         }
         if !traffic.takes_work(&worker.upstream.id) {
             return Err(Outcome::NotRun {
-                why: Refused::NotSent("the upstream is leaving".to_owned()),
+                why: NotRunReason::NotSent("the upstream is leaving".to_owned()),
             });
         }
-        let copy = self.place_copy(worker);
+        let copy = self.choose_copy_engine(worker);
         let is_read = from.is_none() && self.last_event.is_none();
         let need = self.need();
-        let kept_tokens = traffic.cached_tokens_at(&self.job.demand, worker);
-        let pending_tokens = need.prompt_tokens.saturating_sub(kept_tokens);
+        let cached_tokens = traffic.cached_tokens_at(&self.job.demand, worker);
+        let pending_tokens = need.prompt_tokens.saturating_sub(cached_tokens);
         let run = worker.count(What::Run, need.memory_tokens());
         let reading = from.is_none().then(|| worker.count(What::Reading, pending_tokens));
         let request = self
             .job
             .request(&*traffic.dialect, &self.dispatch(worker, copy.as_ref(), from.as_ref()));
-        let seen = traffic.placement_state(worker);
+        let placement = traffic.placement_state(worker);
         slog::info!(traffic.log, "sent"; "request" => self.job.id(),
             "upstream" => &*worker.upstream.id, "domain" => &*worker.upstream.domain,
             "copy" => copy.as_ref().map(|copy| copy.upstream.id.to_string()),
             "from_copy" => from.is_some(), "after" => self.last_event,
-            "runs" => seen.load.runs, "copies" => seen.load.copies,
-            "pending_tokens" => seen.load.pending_tokens,
-            "reserved_tokens" => seen.load.reserved_tokens, "kept_tokens" => kept_tokens,
+            "runs" => placement.load.runs, "copies" => placement.load.copies,
+            "pending_tokens" => placement.load.pending_tokens,
+            "reserved_tokens" => placement.load.reserved_tokens, "kept_tokens" => cached_tokens,
             "list_revision" => traffic.shared.view.load().fleet.revision);
         traffic.note_prompt_locations(&self.job.demand, worker);
         traffic.notify_peers();
         let sent_ms = traffic.now_ms();
-        let copy = copy.map(|worker| Growing {
+        let copy = copy.map(|worker| GrowingCopy {
             _count: worker.count(What::Copy, need.memory_tokens()),
             worker,
         });
         let response = self.wait_for_head(worker, &mut lease, request, &mut silences).await?;
-        self.note_arrival();
+        self.count_attempt();
         self.job.record_time(&traffic.metrics, Time::Upstream, traffic.now_ms() - sent_ms);
-        let marks = traffic.dialect.marks(response.headers());
-        if let Some(outcome) = self.check_head(worker, &response, &marks) {
+        let metadata = traffic.dialect.marks(response.headers());
+        if let Some(outcome) = self.check_response_head(worker, &response, &metadata) {
             return Err(outcome);
         }
         let status = response.status().as_u16();
         if status != 200 {
-            return Err(self.pass_on_failure(worker, lease, response, &marks).await);
+            return Err(self.forward_error(worker, lease, response, &metadata).await);
         }
         if is_read {
             traffic.note_first_event_wait(&self.job, traffic.now_ms() - sent_ms);
         }
-        self.here.answers_since_ms = Some(traffic.now_ms());
-        self.note_copy(copy);
-        let body = self.open_body(response);
+        self.progress.response_started_ms = Some(traffic.now_ms());
+        self.set_growing_copy(copy);
+        let body = self.start_body(response);
         let worker = Rc::clone(worker);
-        Ok(Opened { worker, lease, body, marks, silences, reading, _run: run })
+        Ok(OpenResponse { worker, lease, body, metadata, silences, reading, _run: run })
     }
 
-    fn note_arrival(&mut self) {
-        self.sent += 1;
-        self.arrived += 1;
+    fn count_attempt(&mut self) {
+        self.attempts += 1;
+        self.delivered += 1;
     }
 
     /// Sends the request and waits for the response head, which arrives with the first event.
@@ -150,103 +152,109 @@
         let traffic = Rc::clone(&self.traffic);
         let mut sending = std::pin::pin!(lease.channel.send(request));
         let sent_ms = traffic.now_ms();
-        let mut silence = Silence::before_first(sent_ms, self.overdue_ms());
+        let mut silence = Silence::before_first(sent_ms, self.first_event_overdue_ms());
         let response = loop {
-            let wake_ms = (traffic.now_ms() + self.patience().first_ms).min(self.job.until_ms);
+            let wake_ms =
+                (traffic.now_ms() + self.silence_timeouts().first_ms).min(self.job.until_ms);
             tokio::select! {
                 response = sending.as_mut() => break response,
-                () = caller_left(&mut self.head, &self.body) => return Err(Outcome::CallerLeft),
+                () = caller_disconnected(&mut self.response_tx, &self.body_tx) =>
+                    return Err(Outcome::CallerDisconnected),
                 _ = silences.changed() => {
                     if !traffic.is_confirmed_lost(worker).await {
                         continue;
                     }
-                    self.note_arrival();
-                    return Err(lost("silent before its response head", Loss::Silent));
+                    self.count_attempt();
+                    return Err(lost_run("silent before its response head", LossCause::Silent));
                 }
-                () = until(&traffic, wake_ms) => {}
+                () = sleep_until(&traffic, wake_ms) => {}
             }
             if traffic.now_ms() >= self.job.until_ms {
-                self.note_arrival();
-                return Err(Outcome::TimeOver);
+                self.count_attempt();
+                return Err(Outcome::DeadlinePassed);
             }
-            let asked_ms = traffic.now_ms();
-            let life = tokio::select! {
+            let probed_ms = traffic.now_ms();
+            let liveness = tokio::select! {
                 response = sending.as_mut() => break response,
-                () = caller_left(&mut self.head, &self.body) => return Err(Outcome::CallerLeft),
-                life = traffic.probe(worker) => life,
+                () = caller_disconnected(&mut self.response_tx, &self.body_tx) =>
+                    return Err(Outcome::CallerDisconnected),
+                liveness = traffic.probe(worker) => liveness,
             };
-            if matches!(life, Liveness::Lost) && !traffic.is_confirmed_lost(worker).await {
+            if matches!(liveness, Liveness::Lost) && !traffic.is_confirmed_lost(worker).await {
                 continue;
             }
-            let sent = self.sent + 1;
-            let left = self.judge_silence(&mut silence, &life, asked_ms, worker, sent);
+            let attempts = self.attempts + 1;
+            let left = self.evaluate_silence(&mut silence, &liveness, probed_ms, worker, attempts);
             if let Some(outcome) = left {
                 traffic.note_first_event_wait(&self.job, traffic.now_ms() - sent_ms);
-                self.note_arrival();
+                self.count_attempt();
                 return Err(outcome);
             }
         };
         match response {
             Ok(response) => Ok(response),
             Err(Fault::Broken { detail }) => {
-                self.note_arrival();
+                self.count_attempt();
                 worker.ended(true, traffic.now_ms());
-                Err(self.broke_off(worker, detail))
+                Err(self.note_connection_closed(worker, detail))
             }
-            Err(fault) => Err(Outcome::NotRun { why: Refused::NotSent(fault.to_string()) }),
+            Err(fault) => Err(Outcome::NotRun { why: NotRunReason::NotSent(fault.to_string()) }),
         }
     }
 
     /// How long after sending the first event is overdue, if another attempt is possible.
-    fn overdue_ms(&self) -> Option<u64> {
-        self.can_leave(self.sent + 1)
-            .then(|| self.traffic.first_event_overdue_ms(&self.job, self.arrived))
+    fn first_event_overdue_ms(&self) -> Option<u64> {
+        self.can_retry_elsewhere(self.attempts + 1)
+            .then(|| self.traffic.first_event_overdue_ms(&self.job, self.delivered))
     }
 
-    /// Whether another attempt is possible after `sent` of them, so that leaving a silent engine
-    /// gains something. Otherwise the run waits for whatever arrives.
-    pub(super) fn can_leave(&self, sent: u32) -> bool {
+    /// Whether another attempt is possible after this many, so that leaving a silent engine gains
+    /// something. Otherwise the run waits for whatever arrives.
+    pub(super) fn can_retry_elsewhere(&self, attempts: u32) -> bool {
         let Route { repeat, max_attempts, .. } = *self.job.route;
-        let is_last = sent >= max_attempts;
-        let has_repeat = || self.has_repeat || self.traffic.has_retry(&self.job.service);
-        repeat == Repeat::Resumable && !is_last && has_repeat()
+        let is_last = attempts >= max_attempts;
+        let has_retry = || self.has_taken_retry || self.traffic.has_retry(&self.job.service);
+        repeat == Repeat::Resumable && !is_last && has_retry()
     }
 
-    /// Like the above, and takes the retry: all runs of an engine leave it at the same moment, and
-    /// those for which no retry is left would be truncated although their engine is alive.
-    pub(super) fn leaves(&mut self, sent: u32) -> bool {
-        self.has_repeat = self.can_leave(sent) && self.take_repeat();
-        self.has_repeat
+    /// Like `can_retry_elsewhere`, but also takes the retry: all runs of an engine leave it at the
+    /// same moment, and those for which no retry is left would be truncated although their engine
+    /// is alive.
+    pub(super) fn take_retry_elsewhere(&mut self, attempts: u32) -> bool {
+        self.has_taken_retry = self.can_retry_elsewhere(attempts) && self.take_retry();
+        self.has_taken_retry
     }
 
     /// Takes a retry from the budget, or uses the one taken before.
-    fn take_repeat(&mut self) -> bool {
-        std::mem::take(&mut self.has_repeat) || self.traffic.take_retry(&self.job.service)
+    fn take_retry(&mut self) -> bool {
+        std::mem::take(&mut self.has_taken_retry) || self.traffic.take_retry(&self.job.service)
     }
 
-    /// Decides what an engine's state means for a run that is silent there; `sent` counts the
-    /// attempts including this one.
-    pub(super) fn judge_silence(
+    /// Decides what an engine's state means for a run that is silent there; `attempts` includes the
+    /// present one.
+    pub(super) fn evaluate_silence(
         &mut self,
         silence: &mut Silence,
-        life: &Liveness,
-        asked_ms: u64,
+        liveness: &Liveness,
+        probed_ms: u64,
         worker: &Worker,
-        sent: u32,
+        attempts: u32,
     ) -> Option<Outcome> {
-        if matches!(life, Liveness::Lost) {
-            return Some(lost("silent, and its liveness probe failed", Loss::Silent));
+        if matches!(liveness, Liveness::Lost) {
+            return Some(lost_run("silent, and its liveness probe failed", LossCause::Silent));
         }
-        let sighting = life.sighting(self.job.id());
-        let verdict = silence.see(sighting, asked_ms);
+        let sighting = liveness.sighting(self.job.id());
+        let verdict = silence.see(sighting, probed_ms);
         slog::info!(self.traffic.log, "silent run checked"; "request" => self.job.id(),
             "upstream" => &*worker.upstream.id, "sighting" => ?sighting, "verdict" => ?verdict,
-            "told" => %life, "reading" => self.traffic.prefills_at(worker),
-            "after" => self.last_event, "quiet_ms" => asked_ms - self.last_event_ms);
+            "told" => %liveness, "reading" => self.traffic.prefills_at(worker),
+            "after" => self.last_event, "quiet_ms" => probed_ms - self.last_event_ms);
         match verdict {
             Verdict::Wait => None,
-            Verdict::Leave(why) if Mechanism::Silence.is_on() && self.leaves(sent) => {
-                Some(lost(why.to_string(), Loss::Left))
+            Verdict::Leave(why)
+                if Mechanism::Silence.is_on() && self.take_retry_elsewhere(attempts) =>
+            {
+                Some(lost_run(why.to_string(), LossCause::EngineAlive))
             }
             Verdict::Leave(_) => None,
         }
@@ -255,10 +263,10 @@
     /// Whether an engine has the prompt of a reconnecting caller cached. If the prompt is processed
     /// again, the allowed gap is exceeded anyway, and new requests that can still be on time don't
     /// wait for it.
-    fn holds_prompt(&self, worker: &Worker) -> bool {
-        let part = self.part().filter(|_| self.job.demand.last_event.is_some());
-        let place = part.and_then(|part| self.traffic.cache_location(part));
-        place.is_some_and(|place| place.upstream.id == worker.upstream.id)
+    fn has_prompt_cached(&self, worker: &Worker) -> bool {
+        let prefix = self.own_prefix().filter(|_| self.job.demand.last_event.is_some());
+        let location = prefix.and_then(|prefix| self.traffic.cache_location(prefix));
+        location.is_some_and(|location| location.upstream.id == worker.upstream.id)
     }
 
     fn dispatch(
@@ -267,7 +275,7 @@
         copy: Option<&Rc<Worker>>,
         from: Option<&Copy>,
     ) -> Dispatch {
-        let is_resumed = self.may_have_run || self.holds_prompt(worker);
+        let is_resumed = self.may_have_run || self.has_prompt_cached(worker);
         let new = (self.job.priority + 1).min(LOWEST_PRIORITY);
         Dispatch {
             upstream: Arc::clone(&worker.upstream.id),
@@ -281,17 +289,20 @@
     }
 
     /// Checks the head of a response; returns an outcome if the response is unusable.
-    fn check_head(
+    fn check_response_head(
         &mut self,
         worker: &Rc<Worker>,
         response: &Response<Incoming>,
-        marks: &Marks,
+        metadata: &Marks,
     ) -> Option<Outcome> {
         let now_ms = self.traffic.now_ms();
-        if marks.id.is_some() && marks.id != self.job.demand.id {
+        if metadata.id.is_some() && metadata.id != self.job.demand.id {
             self.traffic.metrics.count("answers_of_other_requests");
-            self.traffic.note_announced_limits(worker, marks);
-            return Some(lost("the response belongs to another request", Loss::Left));
+            self.traffic.note_announced_limits(worker, metadata);
+            return Some(lost_run(
+                "the response belongs to another request",
+                LossCause::EngineAlive,
+            ));
         }
         if response.status().as_u16() == 421 {
             self.traffic.mark_replaced(worker);
@@ -299,58 +310,61 @@
             worker.answered(now_ms);
         }
         let status = response.status().as_u16();
-        self.traffic.note_response_metadata(worker, status, marks);
+        self.traffic.note_response_metadata(worker, status, metadata);
         if status == 421 {
             // The engine that is there now doesn't count against the route's maximum of upstreams
             // that run the request.
-            self.sent -= 1;
-            return Some(Outcome::NotRun { why: Refused::Replaced });
+            self.attempts -= 1;
+            return Some(Outcome::NotRun { why: NotRunReason::Replaced });
         }
-        if marks.not_run {
-            return Some(Outcome::NotRun { why: Refused::Status(status) });
+        if metadata.not_run {
+            return Some(Outcome::NotRun { why: NotRunReason::Status(status) });
         }
-        if status == 200 && !marks.is_signed {
-            return Some(lost("the response is not signed", Loss::Left));
+        if status == 200 && !metadata.is_signed {
+            return Some(lost_run("the response is not signed", LossCause::EngineAlive));
         }
         None
     }
 
     /// Handles an upstream's error: it goes to the caller, unless the run may resume elsewhere.
-    async fn pass_on_failure(
+    async fn forward_error(
         &mut self,
         worker: &Rc<Worker>,
         lease: Lease,
         response: Response<Incoming>,
-        marks: &Marks,
+        metadata: &Marks,
     ) -> Outcome {
         let status = response.status().as_u16();
         worker.ended(true, self.traffic.now_ms());
         let can_repeat = status >= 500 && self.job.route.repeat == Repeat::Resumable;
-        let is_last = self.sent >= self.job.route.max_attempts;
-        if self.body.is_some() || (can_repeat && !is_last) || matches!(status, 408 | 429 | 503) {
-            return lost(format!("status {status}"), Loss::Left);
+        let is_last = self.attempts >= self.job.route.max_attempts;
+        if self.body_tx.is_some() || (can_repeat && !is_last) || matches!(status, 408 | 429 | 503) {
+            return lost_run(format!("status {status}"), LossCause::EngineAlive);
         }
         self.copy = None;
         let headers = headers::end_to_end(response.headers().clone());
         let Ok(body) = response.into_body().collect().await else {
-            return lost(format!("status {status} with an incomplete body"), Loss::Left);
+            return lost_run(
+                format!("status {status} with an incomplete body"),
+                LossCause::EngineAlive,
+            );
         };
         if self.job.body.is_empty() {
-            worker.give_back(lease, marks.keep_ms, self.traffic.now_ms());
+            worker.give_back(lease, metadata.keep_ms, self.traffic.now_ms());
         }
-        self.answer(answer::whole(status, headers, body.to_bytes()));
+        self.respond(answer::whole(status, headers, body.to_bytes()));
         Outcome::Done
     }
 
     /// Sends the caller the head of the first response; later ones only contribute events.
-    fn open_body(&mut self, response: Response<Incoming>) -> Incoming {
+    fn start_body(&mut self, response: Response<Incoming>) -> Incoming {
         let (head, body) = response.into_parts();
-        if self.body.is_none() {
-            let (parts, growing) = mpsc::channel(WAITING_EVENTS);
+        if self.body_tx.is_none() {
+            let (parts, growing) = mpsc::channel(MAX_BUFFERED_EVENTS);
             let mut kept: HeaderMap = headers::end_to_end(head.headers);
             kept.remove(CONTENT_LENGTH);
-            self.body = Some(parts);
-            self.answer(answer::growing(head.status.as_u16(), kept, growing));
+            self.body_tx = Some(parts);
+            self.respond(answer::growing(head.status.as_u16(), kept, growing));
         }
         body
     }
--- a/src/gateway/stream/copy.rs
+++ b/src/gateway/stream/copy.rs
@@ -16,22 +16,22 @@
 use super::Run;
 
 /// Minimum interval between attempts to copy a run; each is a call to its engine.
-const COPY_PAUSE_MS: u64 = 500;
+const MIN_COPY_INTERVAL_MS: u64 = 500;
 /// How long a copy may take: the transfer takes milliseconds, but waits behind others on the link.
 const COPY_TIMEOUT_MS: u64 = 1_500;
 /// A copy that a call has made: the engine that holds it, and its name.
-pub(super) type NewCopy = (Rc<Worker>, Copy);
+pub(super) type FinishedCopy = (Rc<Worker>, Copy);
 
 /// An engine that was named for a growing copy; it holds one from the first event on.
 #[derive(Debug)]
-pub(super) struct Growing {
+pub(super) struct GrowingCopy {
     pub(super) worker: Rc<Worker>,
     pub(super) _count: Count,
 }
 
 /// The copy of the run's KV cache, and the engine that holds it.
 #[derive(Debug)]
-pub(super) struct CopyAt {
+pub(super) struct RunCopy {
     pub(super) worker: Rc<Worker>,
     pub(super) name: Copy,
     /// When the copy has to be renewed, if it doesn't grow with the run.
@@ -45,11 +45,11 @@
     source: Rc<Worker>,
     target: Rc<Worker>,
     id: Arc<str>,
-) -> Option<NewCopy> {
+) -> Option<FinishedCopy> {
     let (path, body) = traffic.dialect.copy_call(&id, target.upstream.addr);
     let limit = Duration::from_millis(COPY_TIMEOUT_MS);
-    let asked = traffic.call_engine(&source, Method::POST, path, body);
-    let answered = tokio::time::timeout(limit, asked).await.ok().and_then(Result::ok);
+    let call = traffic.call_engine(&source, Method::POST, path, body);
+    let answered = tokio::time::timeout(limit, call).await.ok().and_then(Result::ok);
     let status = answered.as_ref().map(|(status, _)| *status);
     let name = answered.filter(|(status, _)| *status == 200);
     let name = name.and_then(|(_, body)| traffic.dialect.copy_name(&body));
@@ -62,7 +62,7 @@
 
 impl Run {
     /// Whether an engine can take over a run or hold a new copy.
-    pub(super) fn is_fit(&self, worker: &Worker) -> bool {
+    pub(super) fn is_eligible(&self, worker: &Worker) -> bool {
         let now_ms = self.traffic.now_ms();
         self.traffic.takes_work(&worker.upstream.id) && !self.traffic.is_suspected(worker, now_ms)
     }
@@ -71,37 +71,37 @@
     /// would have to preempt a run for it; copying is then tried again later. A late run gets no
     /// copy: the copy would take memory from runs that are not late, to save a gap that is exceeded
     /// already.
-    pub(super) fn place_copy(&self, worker: &Worker) -> Option<Rc<Worker>> {
-        let can_copy = self.engine().is_some_and(|engine| engine.can_copy);
+    pub(super) fn choose_copy_engine(&self, worker: &Worker) -> Option<Rc<Worker>> {
+        let can_copy = self.engine_config().is_some_and(|engine| engine.can_copy);
         let is_off = !Mechanism::Copies.is_on();
         if is_off || self.is_late || !can_copy || self.job.route.repeat != Repeat::Resumable {
             return None;
         }
-        let mut not = self.left.clone();
+        let mut not = self.excluded.clone();
         not.push(Arc::clone(&worker.upstream.id));
         let need = self.need();
         let constraints = Constraints {
             need,
             not,
-            not_domains: self.lost_domains(),
+            not_domains: self.avoided_domains(),
             apart_from: Some(Arc::clone(&worker.upstream.domain)),
             near: None,
         };
         let chosen = self.traffic.choose(&self.job.service, &constraints)?;
         let has_room = || self.traffic.placement_state(&chosen).load.has_room(need);
-        (self.is_fit(&chosen) && has_room()).then_some(chosen)
+        (self.is_eligible(&chosen) && has_room()).then_some(chosen)
     }
 
     /// Whether the copy at an engine is still usable. A suspected engine counts: a probe costs less
     /// than a new copy.
-    pub(super) fn keeps_copy(&self, worker: &Worker) -> bool {
+    pub(super) fn is_copy_usable(&self, worker: &Worker) -> bool {
         let now_ms = self.traffic.now_ms();
         self.traffic.takes_work(&worker.upstream.id) && !self.traffic.is_lost(worker, now_ms)
     }
 
     /// Records the engine at which a copy has been growing since the first event.
-    pub(super) fn note_copy(&mut self, growing: Option<Growing>) {
-        self.copy = growing.map(|Growing { worker, _count }| CopyAt {
+    pub(super) fn set_growing_copy(&mut self, growing: Option<GrowingCopy>) {
+        self.copy = growing.map(|GrowingCopy { worker, _count }| RunCopy {
             name: Copy { addr: worker.upstream.addr, name: Arc::from(self.job.id()) },
             renew_ms: None,
             worker,
@@ -112,71 +112,71 @@
     /// Starts a copy to another engine if the present copy's engine is lost, is leaving or lies in
     /// the run's own failure domain, or if the present copy was made by a call, so that it doesn't
     /// grow, and is old.
-    pub(super) fn keep_copy(&mut self, worker: &Rc<Worker>) {
+    pub(super) fn maintain_copy(&mut self, worker: &Rc<Worker>) {
         let now_ms = self.traffic.now_ms();
-        self.take_finished_copy(now_ms);
-        if self.copying.is_some() {
+        self.poll_pending_copy(now_ms);
+        if self.pending_copy.is_some() {
             return;
         }
         if let Some(copy) = &self.copy
-            && !self.keeps_copy(&copy.worker)
+            && !self.is_copy_usable(&copy.worker)
         {
             slog::info!(self.traffic.log, "copy lost"; "request" => self.job.id(),
                 "upstream" => &*copy.worker.upstream.id);
             self.copy = None;
         }
-        if now_ms < self.copy_again_ms || !self.wants_copy(worker, now_ms) || !self.can_move() {
+        if now_ms < self.next_copy_ms || !self.needs_copy(worker, now_ms) || !self.can_move() {
             return;
         }
         if worker.is_throttled(now_ms) {
             return;
         }
-        self.copy_again_ms = now_ms + COPY_PAUSE_MS;
-        let Some(target) = self.copy_target(worker) else { return };
-        let (tell, copied) = oneshot::channel();
-        self.copying = Some(copied);
+        self.next_copy_ms = now_ms + MIN_COPY_INTERVAL_MS;
+        let Some(target) = self.copy_destination(worker) else { return };
+        let (result, copied) = oneshot::channel();
+        self.pending_copy = Some(copied);
         let id: Arc<str> = Arc::from(self.job.id());
-        let copying = copy_run(Rc::clone(&self.traffic), Rc::clone(worker), target, id);
+        let copy = copy_run(Rc::clone(&self.traffic), Rc::clone(worker), target, id);
         tokio::task::spawn_local(async move {
             // The run may have ended meanwhile.
-            let _ = tell.send(copying.await);
+            let _ = result.send(copy.await);
         });
     }
 
     /// Whether there is no copy, or one that should lie elsewhere or be newer.
-    fn wants_copy(&self, worker: &Worker, now_ms: u64) -> bool {
+    fn needs_copy(&self, worker: &Worker, now_ms: u64) -> bool {
         let Some(copy) = &self.copy else { return true };
         let is_old = copy.renew_ms.is_some_and(|renew_ms| renew_ms <= now_ms);
         is_old || copy.worker.upstream.domain == worker.upstream.domain
     }
 
     /// The engine to which the run's KV cache should be copied.
-    fn copy_target(&self, worker: &Worker) -> Option<Rc<Worker>> {
-        let Some(copy) = &self.copy else { return self.place_copy(worker) };
+    fn copy_destination(&self, worker: &Worker) -> Option<Rc<Worker>> {
+        let Some(copy) = &self.copy else { return self.choose_copy_engine(worker) };
         if copy.worker.upstream.domain != worker.upstream.domain {
             return Some(Rc::clone(&copy.worker));
         }
-        let better = self.place_copy(worker);
+        let better = self.choose_copy_engine(worker);
         better.filter(|better| better.upstream.domain != worker.upstream.domain)
     }
 
     /// Takes in a copy that a call has made meanwhile.
-    pub(super) fn take_finished_copy(&mut self, now_ms: u64) {
-        let Some(copying) = &mut self.copying else { return };
-        match copying.try_recv() {
+    pub(super) fn poll_pending_copy(&mut self, now_ms: u64) {
+        let Some(pending) = &mut self.pending_copy else { return };
+        match pending.try_recv() {
             Ok(copied) => {
-                self.copying = None;
-                self.take_copy(copied, now_ms);
+                self.pending_copy = None;
+                self.set_finished_copy(copied, now_ms);
             }
             Err(oneshot::error::TryRecvError::Empty) => {}
-            Err(oneshot::error::TryRecvError::Closed) => self.copying = None,
+            Err(oneshot::error::TryRecvError::Closed) => self.pending_copy = None,
         }
     }
 
-    pub(super) fn take_copy(&mut self, copied: Option<NewCopy>, now_ms: u64) {
+    pub(super) fn set_finished_copy(&mut self, copied: Option<FinishedCopy>, now_ms: u64) {
         let Some((worker, name)) = copied else { return };
-        let kept_ms = self.engine().map_or(0, |engine| engine.copy_kept_ms);
-        self.copy = Some(CopyAt {
+        let kept_ms = self.engine_config().map_or(0, |engine| engine.copy_kept_ms);
+        self.copy = Some(RunCopy {
             name,
             renew_ms: Some(now_ms + kept_ms / 2),
             _count: worker.count(What::Copy, self.need().memory_tokens()),
@@ -184,13 +184,13 @@
         });
     }
 
-    pub(super) fn engine(&self) -> Option<Engine> {
+    pub(super) fn engine_config(&self) -> Option<Engine> {
         let view = self.traffic.view();
         view.config.as_ref()?.services.get(&self.job.service)?.engine.clone()
     }
 
     pub(super) fn can_move(&self) -> bool {
-        let can_move = self.engine().is_some_and(|engine| engine.can_move);
+        let can_move = self.engine_config().is_some_and(|engine| engine.can_move);
         can_move && Mechanism::Copies.is_on() && self.job.route.repeat == Repeat::Resumable
     }
 }
--- a/src/gateway/stream/crashes.rs
+++ b/src/gateway/stream/crashes.rs
@@ -5,50 +5,55 @@
 use super::super::policy::quarantine::{self, CLEARING_EVENTS};
 use super::super::traffic::VERDICT_WAIT_MS;
 use super::super::worker::Worker;
-use super::{Loss, Outcome, Run, Unjudged, lost};
+use super::{LossCause, Outcome, Run, UnjudgedCrash, lost_run};
 
 impl Run {
     /// Records that an engine closed the connection, and reports a crash if the run may have caused
     /// it.
-    pub(super) fn broke_off(&mut self, worker: &Rc<Worker>, detail: String) -> Outcome {
+    pub(super) fn note_connection_closed(
+        &mut self,
+        worker: &Rc<Worker>,
+        detail: String,
+    ) -> Outcome {
         let now_ms = self.traffic.now_ms();
         worker.broke(now_ms);
-        let answered_ms = self.here.answers_since_ms.map(|since_ms| now_ms - since_ms);
-        if let Some(stage) = quarantine::stage_of_stream(answered_ms, self.here.events) {
+        let answered_ms = self.progress.response_started_ms.map(|since_ms| now_ms - since_ms);
+        if let Some(stage) = quarantine::stage_of_stream(answered_ms, self.progress.events) {
             let event = self.last_event.unwrap_or(0);
-            self.crashes.push(Unjudged { at_ms: now_ms, points: quarantine::points(stage) });
-            self.crashed_at = Some(event);
+            self.unjudged_crashes
+                .push(UnjudgedCrash { at_ms: now_ms, points: quarantine::points(stage) });
+            self.last_crash_event = Some(event);
             self.traffic.note_crash(&self.job, worker, stage, event);
         } else {
             self.traffic.check_exit(worker);
         }
-        lost(detail, Loss::BrokeOff)
+        lost_run(detail, LossCause::ConnectionClosed)
     }
 
     /// Waits for the verdicts on crashes during the run if they may quarantine the request, since
     /// another attempt before that could crash one more engine. Returns false if the deadline has
     /// passed or the caller has disconnected.
-    pub(super) async fn wait_for_judgement(&mut self) -> bool {
+    pub(super) async fn wait_for_crash_verdicts(&mut self) -> bool {
         let now_ms = self.traffic.now_ms();
-        self.crashes.retain(|crash| crash.at_ms + VERDICT_WAIT_MS > now_ms);
-        let points = self.crashes.iter().map(|crash| crash.points).sum();
-        let Some(last) = self.crashes.last().copied() else { return true };
+        self.unjudged_crashes.retain(|crash| crash.at_ms + VERDICT_WAIT_MS > now_ms);
+        let points = self.unjudged_crashes.iter().map(|crash| crash.points).sum();
+        let Some(last) = self.unjudged_crashes.last().copied() else { return true };
         if !self.traffic.may_be_quarantined(&self.job, points) {
             return true;
         }
         if self.wait(last.at_ms + VERDICT_WAIT_MS - now_ms).await {
             return true;
         }
-        self.give_up(self.time_over());
+        self.give_up(self.deadline_failure());
         false
     }
 
     /// Reports that the run has progressed beyond the point at which engines crashed.
-    pub(super) fn clear_if_beyond_crash(&mut self) {
+    pub(super) fn clear_crashes_if_beyond(&mut self) {
         let is_beyond =
             |crashed: &u64| self.last_event.is_some_and(|event| event >= crashed + CLEARING_EVENTS);
-        if self.crashed_at.take_if(|crashed| is_beyond(crashed)).is_some() {
-            self.crashes.clear();
+        if self.last_crash_event.take_if(|crashed| is_beyond(crashed)).is_some() {
+            self.unjudged_crashes.clear();
             self.traffic.note_served(&self.job, self.last_event);
         }
     }
