--- a/tests/gateway/explain.rs
+++ b/tests/gateway/explain.rs
@@ -7,7 +7,7 @@
 
 use crate::support::{self, Running, call, plan};
 
-fn lines_of(running: &Running, id: &str) -> Vec<serde_json::Value> {
+fn log_lines_of(running: &Running, id: &str) -> Vec<serde_json::Value> {
     let log = running.gateways[0].logged();
     let lines = log.lines().filter(|line| line.contains(id));
     lines.map(|line| serde_json::from_str(line).unwrap()).collect()
@@ -18,7 +18,7 @@
 }
 
 #[tokio::test]
-async fn a_stream_that_came_late_names_the_engine_that_was_lost() {
+async fn a_late_stream_names_the_lost_engine() {
     let running = support::start(1).await;
     let sent = plan();
     let reading = running.read_stream(&sent);
@@ -30,10 +30,10 @@
     reading.await.unwrap().unwrap();
     let id = sent.id.clone();
     wait_for("the end is logged", async || {
-        messages(&lines_of(&running, &id)).contains(&"complete")
+        messages(&log_lines_of(&running, &id)).contains(&"complete")
     })
     .await;
-    let lines = lines_of(&running, &id);
+    let lines = log_lines_of(&running, &id);
     assert_eq!(messages(&lines), ["sent", "engine lost", "sent", "stream resumed", "complete"]);
     assert_eq!(lines[1]["upstream"], *engines[first].id);
     assert!(lines[1]["last_event"].is_u64() && lines[1]["why"].is_string());
@@ -43,7 +43,7 @@
 /// Callers send a request again under another id. The log must show that it is the same one, and
 /// whether the upstream's process has exited or only a connection was closed.
 #[tokio::test]
-async fn a_request_that_comes_again_is_known_by_its_fingerprint() {
+async fn a_repeated_request_is_recognised_by_its_fingerprint() {
     let running = support::start(1).await;
     let first = call("POST", "/book/a");
     let again = caller::Call { id: support::new_id(), ..first.clone() };
@@ -52,8 +52,8 @@
     let mut fingerprints = Vec::new();
     for sent in [&first, &again, &other] {
         assert_eq!(caller::send(running.front(0), sent).await.unwrap().status(), 502);
-        wait_for("it is logged", async || !lines_of(&running, &sent.id).is_empty()).await;
-        let fingerprint = lines_of(&running, &sent.id)[0]["fingerprint"].clone();
+        wait_for("it is logged", async || !log_lines_of(&running, &sent.id).is_empty()).await;
+        let fingerprint = log_lines_of(&running, &sent.id)[0]["fingerprint"].clone();
         fingerprints.push(fingerprint.as_str().unwrap().to_owned());
     }
     assert_eq!(fingerprints[0], fingerprints[1]);
@@ -67,10 +67,10 @@
     let sent = call("POST", "/book/a");
     assert_eq!(caller::send(running.front(0), &sent).await.unwrap().status(), 502);
     wait_for("the end is logged", async || {
-        messages(&lines_of(&running, &sent.id)).contains(&"refused")
+        messages(&log_lines_of(&running, &sent.id)).contains(&"refused")
     })
     .await;
-    let lines = lines_of(&running, &sent.id);
+    let lines = log_lines_of(&running, &sent.id);
     assert_eq!(messages(&lines), ["outcome unknown", "refused"]);
     assert!(lines[0]["upstream"].as_str().unwrap().starts_with("s-"));
     assert_eq!(lines[1]["status"], 502);
@@ -83,10 +83,10 @@
     let sent = call("POST", "/book/a");
     assert_eq!(caller::send(running.front(0), &sent).await.unwrap().status(), 503);
     wait_for("the end is logged", async || {
-        messages(&lines_of(&running, &sent.id)).contains(&"refused")
+        messages(&log_lines_of(&running, &sent.id)).contains(&"refused")
     })
     .await;
-    let lines = lines_of(&running, &sent.id);
+    let lines = log_lines_of(&running, &sent.id);
     assert_eq!(messages(&lines), ["attempt failed", "refused"]);
     assert_eq!(lines[1]["status"], 503);
 }
@@ -98,8 +98,8 @@
     let running = support::start(1).await;
     let sent = caller::Call { key: Some("unknown".to_owned()), ..call("GET", "/look/a") };
     assert_eq!(caller::send(running.front(0), &sent).await.unwrap().status(), 401);
-    wait_for("it is logged", async || !lines_of(&running, &sent.id).is_empty()).await;
-    let lines = lines_of(&running, &sent.id);
+    wait_for("it is logged", async || !log_lines_of(&running, &sent.id).is_empty()).await;
+    let lines = log_lines_of(&running, &sent.id);
     assert_eq!(messages(&lines), ["rejected"]);
     assert_eq!(lines[0]["status"], 401);
     assert_eq!(lines[0]["config_version"], 2);
@@ -108,7 +108,7 @@
 }
 
 #[tokio::test]
-async fn metrics_tell_outcomes_and_times() {
+async fn metrics_report_outcomes_and_times() {
     let running = support::start(1).await;
     let front = running.front(0);
     caller::send(front, &call("GET", "/look/a")).await.unwrap();
--- a/tests/gateway/lost_instances.rs
+++ b/tests/gateway/lost_instances.rs
@@ -8,7 +8,7 @@
 use crate::support::{self, Running, call, plan, whole_text, working_engine};
 
 #[tokio::test]
-async fn a_killed_instance_leaves_the_addresses_and_comes_back() {
+async fn a_killed_instance_is_removed_from_the_addresses_and_returns() {
     let mut running = support::start(3).await;
     running.gateways[1].kill();
     let gone = running.front(1);
@@ -23,7 +23,7 @@
 /// A planned stop completes every request that was read, tells kept connections to close, and ends
 /// the process.
 #[tokio::test]
-async fn a_planned_stop_cuts_nothing() {
+async fn a_planned_stop_truncates_no_response() {
     let mut running = support::start(2).await;
     let front = running.front(0);
     let sent = plan();
@@ -50,7 +50,7 @@
 }
 
 #[tokio::test]
-async fn a_signal_to_reload_cuts_nothing() {
+async fn a_reload_signal_truncates_no_response() {
     let running = support::start(1).await;
     let sent = plan();
     let reading = running.read_stream(&sent);
@@ -64,7 +64,7 @@
 }
 
 /// Starts a stream and kills all instances while it runs; returns the request and its engine.
-async fn lose_all_mid_stream(running: &mut Running) -> (caller::Call, usize) {
+async fn kill_all_mid_stream(running: &mut Running) -> (caller::Call, usize) {
     let sent = plan();
     let reading = running.read_stream(&sent);
     let first = working_engine(running).await;
@@ -80,28 +80,28 @@
 /// cache location was lost, so the prompts of callers that reconnected were processed again: 210
 /// streams at once on 75 instances.
 #[tokio::test]
-async fn new_prompts_say_nothing_of_where_the_old_ones_lie() {
-    let mut landed = Vec::new();
+async fn locations_of_new_prompts_do_not_prevent_a_cache_lookup() {
+    let mut resumed_there = Vec::new();
     for _ in 0..3 {
         let mut running = support::start(2).await;
-        let (sent, first) = lose_all_mid_stream(&mut running).await;
+        let (sent, first) = kill_all_mid_stream(&mut running).await;
         assert!(caller::stream(running.front(0), &plan()).await.unwrap().is_complete);
         let again = caller::Call { id: support::new_id(), last_event: Some(3), ..sent.clone() };
         let stream = caller::stream(running.front(1), &again).await.unwrap();
         assert_eq!(stream.text, whole_text(&sent, 3));
         let seen = running.site.engines[first].seen();
-        landed
+        resumed_there
             .push(seen.iter().any(|seen| seen.request.header("x-request-id") == Some(&*again.id)));
     }
-    assert_eq!(landed, [true; 3]);
+    assert_eq!(resumed_there, [true; 3]);
 }
 
 /// After the loss of all instances nobody knows the cache location of a prompt, so engines are
 /// queried.
 #[tokio::test]
-async fn a_caller_goes_on_where_its_prompt_lies_after_the_loss_of_all() {
+async fn a_caller_resumes_at_the_engine_with_its_prompt_after_the_loss_of_all() {
     let mut running = support::start(2).await;
-    let (sent, first) = lose_all_mid_stream(&mut running).await;
+    let (sent, first) = kill_all_mid_stream(&mut running).await;
     let engines = running.site.engines.clone();
     let again = caller::Call { id: support::new_id(), last_event: Some(3), ..sent.clone() };
     let stream = caller::stream(running.front(1), &again).await.unwrap();
--- a/tests/gateway/streams.rs
+++ b/tests/gateway/streams.rs
@@ -12,7 +12,7 @@
 use crate::support::{self, Running, plan, whole_text, working_engine};
 
 #[tokio::test]
-async fn a_stream_passes_whole() {
+async fn a_stream_is_forwarded_completely() {
     let running = support::start(1).await;
     let sent = plan();
     let stream = caller::stream(running.front(0), &sent).await.unwrap();
@@ -29,12 +29,12 @@
     cut = { Fault::Cut },
 )]
 #[test_macro(tokio::test)]
-async fn a_stream_outlives_its_engine(fault: Fault) {
+async fn a_stream_survives_the_loss_of_its_engine(fault: Fault) {
     let running = support::start(1).await;
     let sent = plan();
     let reading = running.read_stream(&sent);
     let first = working_engine(&running).await;
-    wait_for("some events are made", async || running.logged_sent(&sent.id) > 0).await;
+    wait_for("the request is sent", async || running.times_sent(&sent.id) > 0).await;
     tokio::time::timeout(Duration::from_secs(5), running.wait_for_events(first)).await.unwrap();
     running.site.engines[first].fail(fault);
     let stream = reading.await.unwrap().unwrap();
@@ -54,7 +54,7 @@
 /// In the log: `liveness probe completed` with `lives` false, `engine lost` with why `silent` and
 /// `quiet_ms` 40, `retry budget exhausted`, `refused`.
 #[tokio::test]
-async fn a_stream_whose_events_come_stays_when_its_engine_does_not_tell_its_state() {
+async fn a_stream_with_events_stays_when_its_engine_does_not_return_its_state() {
     let site = Site::start(1, 100).await;
     for engine in &site.engines[1..] {
         site.store.remove(&format!("servers/{}", engine.id));
@@ -76,7 +76,7 @@
 
 /// Copies start with the first event; before that, an attempt at the copy would only be refused.
 #[tokio::test]
-async fn a_stream_lost_before_its_first_event_does_not_look_for_a_copy() {
+async fn a_stream_lost_before_its_first_event_is_not_resumed_from_a_copy() {
     let running = support::start(1).await;
     running.site.engines.iter().for_each(|engine| engine.read_for(400));
     let sent = plan();
@@ -135,7 +135,7 @@
 }
 
 #[tokio::test]
-async fn a_stream_without_resumption_is_cut_and_not_run_again() {
+async fn a_stream_without_resumption_is_truncated_and_not_run_again() {
     let running = support::start(1).await;
     let sent = caller::Call { path: "/plan/once/a".to_owned(), ..plan() };
     let reading = running.read_stream(&sent);
@@ -149,7 +149,7 @@
 }
 
 #[tokio::test]
-async fn a_caller_goes_on_after_its_last_event_where_its_prompt_lies() {
+async fn a_reconnecting_caller_resumes_at_the_engine_that_cached_its_prompt() {
     let running = support::start(3).await;
     let sent = plan();
     let reading = running.read_stream(&sent);
@@ -174,7 +174,7 @@
 }
 
 #[tokio::test]
-async fn what_only_the_system_may_set_is_taken_out() {
+async fn reserved_headers_from_callers_are_removed() {
     let running = support::start(1).await;
     let mut connection = tokio::net::TcpStream::connect(running.front(0)).await.unwrap();
     let sent = plan();
@@ -196,7 +196,7 @@
 /// Engines that crash while the store is silent restart under ids that nobody lists. Unless they
 /// are searched for, each crash leaves fewer engines.
 #[tokio::test]
-async fn engines_that_came_back_are_found_while_the_store_is_silent() {
+async fn restarted_engines_are_rediscovered_while_the_store_is_silent() {
     let running = support::start(2).await;
     caller::stream(running.front(0), &plan()).await.unwrap();
     running.site.store.fail(siskinrock_fakes::store::Fault::Silent);
@@ -206,7 +206,7 @@
     .await;
     let engines = &running.site.engines;
     for (index, engine) in engines.iter().enumerate() {
-        engine.come_back(&format!("reborn-{index}"));
+        engine.come_back(&format!("restarted-{index}"));
     }
     for gateway in [0, 1] {
         wait_for("streams are served by rediscovered engines", async || {
@@ -227,14 +227,14 @@
 /// last would notice its silence only after eight seconds. Engines that crashed before any instance
 /// noticed are rediscovered once the first one does.
 #[tokio::test]
-async fn engines_that_crashed_before_the_silence_was_noticed_are_found() {
-    const FOUND_WITHIN: Duration = Duration::from_millis(5_500);
+async fn engines_that_crashed_before_the_silence_was_noticed_are_rediscovered() {
+    const MAX_REDISCOVERY_TIME: Duration = Duration::from_millis(5_500);
     let running = support::start(5).await;
     caller::stream(running.front(0), &plan()).await.unwrap();
     running.site.store.fail(siskinrock_fakes::store::Fault::Silent);
     let silent = Instant::now();
     for (index, engine) in running.site.engines.iter().enumerate() {
-        engine.come_back(&format!("reborn-{index}"));
+        engine.come_back(&format!("restarted-{index}"));
     }
     wait_for("streams are served by rediscovered engines", async || {
         let sent = plan();
@@ -242,15 +242,15 @@
         stream.is_ok_and(|stream| stream.is_complete && stream.text == whole_text(&sent, 0))
     })
     .await;
-    let found = silent.elapsed();
-    assert!(found < FOUND_WITHIN, "rediscovered after {found:?}");
+    let elapsed = silent.elapsed();
+    assert!(elapsed < MAX_REDISCOVERY_TIME, "rediscovered after {elapsed:?}");
 }
 
 /// All engines crash at once, twice, and are back after more than a second each time. A caller that
 /// is refused meanwhile retries once, after the time it was given, and must reach one of them.
 #[tokio::test]
-async fn a_refused_caller_comes_back_when_the_engines_are_back() {
-    const AWAY: Duration = Duration::from_millis(1_500);
+async fn a_refused_caller_retries_when_the_engines_are_back() {
+    const DOWNTIME: Duration = Duration::from_millis(1_500);
     let mut running = support::start(1).await;
     caller::stream(running.front(0), &plan()).await.unwrap();
     let mut waits = Vec::new();
@@ -264,7 +264,7 @@
         waits.push(after);
         let front = running.front(0);
         let restart = async {
-            tokio::time::sleep_until((crashed + AWAY).into()).await;
+            tokio::time::sleep_until((crashed + DOWNTIME).into()).await;
             running.restart_all_engines(outage);
         };
         let repeat = async {
@@ -283,7 +283,7 @@
 /// A full engine resets connections beyond its limit. Its runs were taken for lost between two
 /// events, and truncated if no retry was left.
 #[tokio::test]
-async fn a_stream_stays_at_an_engine_that_resets_the_question() {
+async fn a_stream_stays_at_an_engine_that_resets_the_state_query() {
     let running = support::start_site(Site::start(2, 300).await, 1).await;
     let sent = plan();
     let reading = running.read_stream(&sent);
@@ -298,7 +298,7 @@
 
 impl Running {
     /// How many times the log says that a request was sent.
-    pub fn logged_sent(&self, id: &str) -> usize {
+    pub fn times_sent(&self, id: &str) -> usize {
         let logs = self.gateways.iter().map(|gateway| gateway.logged()).collect::<String>();
         let is_sent = |line: &&str| line.contains("\"msg\":\"sent\"") && line.contains(id);
         logs.lines().filter(is_sent).count()
@@ -306,7 +306,7 @@
 
     /// Waits until an engine has sent a few events of its run, but not all.
     pub async fn wait_for_events(&self, engine: usize) {
-        wait_for("some events are made", async || {
+        wait_for("some events are sent", async || {
             let made = self.site.engines[engine].made();
             assert!(made < EVENTS, "the run ended before it could be disturbed");
             made >= 3
