--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -43,11 +43,11 @@
 
 /// Serves a stream. Returns the head of the response, whose body is sent as events arrive.
 pub async fn serve(traffic: &Rc<Traffic>, job: Job) -> Answer {
-    let (head, answered) = oneshot::channel();
+    let (response_tx, response) = oneshot::channel();
     let traffic = Rc::clone(traffic);
     let job = Rc::new(job);
     tokio::task::spawn_local(async move {
-        let mut run = Run::new(&traffic, Rc::clone(&job), head);
+        let mut run = Run::new(&traffic, Rc::clone(&job), response_tx);
         tokio::select! {
             biased;
             () = run.drive() => {}
@@ -60,7 +60,7 @@
         }
     });
     // The run always sends a response, unless its caller has disconnected.
-    answered.await.unwrap_or_else(|_| answer::failed(&Failure::Unknown, None))
+    response.await.unwrap_or_else(|_| answer::failed(&Failure::Unknown, None))
 }
 
 /// How an attempt ended.
--- a/src/gateway/stream/copy.rs
+++ b/src/gateway/stream/copy.rs
@@ -92,8 +92,8 @@
         (self.is_eligible(&chosen) && has_room()).then_some(chosen)
     }
 
-    /// Whether the copy at an engine is still usable. A suspected engine counts: a probe costs less
-    /// than a new copy.
+    /// Whether the copy at an engine is still usable. It is at a suspected engine, too, since a probe
+    /// costs less than a new copy.
     pub(super) fn is_copy_usable(&self, worker: &Worker) -> bool {
         let now_ms = self.traffic.now_ms();
         self.traffic.takes_work(&worker.upstream.id) && !self.traffic.is_lost(worker, now_ms)
--- a/src/gateway/traffic.rs
+++ b/src/gateway/traffic.rs
@@ -48,8 +48,8 @@
 use crate::clock::Clock;
 use crate::log;
 
-/// Percentile of observed output lengths for which engine memory is reserved. The few longer
-/// outputs share the memory that stays free.
+/// Percentile, as a fraction, of observed output lengths for which engine memory is reserved. The
+/// few longer outputs share the memory that stays free.
 const OUTPUT_TOKENS_PERCENTILE: f64 = 0.9;
 /// Channels per upstream that an instance may open beyond its even share, since load is never even.
 const CHANNEL_SLACK: u32 = 2;
--- a/src/gateway/traffic/quarantine.rs
+++ b/src/gateway/traffic/quarantine.rs
@@ -12,7 +12,7 @@
 use super::super::worker::Worker;
 use super::Traffic;
 
-/// How long after a verdict on a crash the traffic thread of this instance has received it.
+/// Time within which a verdict on a crash reaches the traffic thread of this instance.
 const VERDICT_DELIVERY_MS: u64 = 50;
 /// How long a request waits after a crash before it resumes, if the verdict may quarantine it.
 pub(in super::super) const VERDICT_WAIT_MS: u64 = SETTLE_MS + VERDICT_DELIVERY_MS;
--- a/src/gateway/traffic/signals.rs
+++ b/src/gateway/traffic/signals.rs
@@ -45,8 +45,9 @@
         self.note_announced_limits(worker, metadata);
     }
 
-    /// Processes the limits that a response announces. They hold in a response to another request
-    /// as well; such a response may be old, so it lifts no limit.
+    /// Processes the restrictions that a response announces: a rate limit, or that the upstream is
+    /// leaving. They hold in a response to another request as well; such a response may be old, so
+    /// it lifts no restriction.
     pub fn note_announced_limits(&self, worker: &Worker, metadata: &Marks) {
         if metadata.is_leaving && worker.note_said_leaving() {
             self.log_leaving(worker, "its response");
@@ -141,10 +142,10 @@
     pub fn throttled_for_ms(&self, service: &str) -> Option<u64> {
         let now_ms = self.now_ms();
         let workers = self.workers.borrow();
-        let living = workers.values().filter(|worker| {
+        let available = workers.values().filter(|worker| {
             *worker.upstream.service == *service && worker.takes_work() && !worker.is_lost(now_ms)
         });
-        let waits_ms = living.map(|worker| worker.throttled_until_ms().saturating_sub(now_ms));
+        let waits_ms = available.map(|worker| worker.throttled_until_ms().saturating_sub(now_ms));
         waits_ms.min().filter(|wait_ms| *wait_ms > 0)
     }
 }
