--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -136,10 +136,14 @@
     job: Rc<Job>,
     response_tx: Option<oneshot::Sender<Answer>>,
     body_tx: Option<mpsc::Sender<Part>>,
+    /// The id of the last event that the caller has.
     last_event: Option<u64>,
+    /// When the latest event arrived; before the first one, when the run started.
     last_event_ms: u64,
+    /// How long after the request the first event arrived.
     first_event_ms: Option<u64>,
     longest_gap_ms: u64,
+    /// When the run lost its engine, until it resumes.
     engine_lost_ms: Option<u64>,
     /// How far the run has come at its current engine.
     progress: Progress,
@@ -147,6 +151,7 @@
     unjudged_crashes: Vec<UnjudgedCrash>,
     /// The last event before the latest crash. Some events later, the crashes are cleared.
     last_crash_event: Option<u64>,
+    /// Whether the request may have run at any engine.
     may_have_run: bool,
     /// Attempts that count against the route's maximum.
     attempts: u32,
@@ -157,6 +162,7 @@
     /// Whether the caller reconnected after the loss of all instances, so that the allowed gap
     /// between events is exceeded already.
     is_late: bool,
+    /// Attempted handovers from an engine that is alive.
     stall_handovers: u32,
     retry_delay_ms: u64,
     /// Engines that the next attempt must not use.
@@ -165,6 +171,7 @@
     lost_domains: Vec<(Arc<str>, u64)>,
     copy: Option<RunCopy>,
     pending_copy: Option<oneshot::Receiver<Option<FinishedCopy>>>,
+    /// When a copy may be attempted again.
     next_copy_ms: u64,
 }
 
--- a/src/gateway/stream/attempt.rs
+++ b/src/gateway/stream/attempt.rs
@@ -41,7 +41,7 @@
     pub(super) metadata: Marks,
     pub(super) silences: watch::Receiver<u64>,
     /// Counts the prompt as being processed until the first event.
-    pub(super) reading: Option<Count>,
+    pub(super) prefill_count: Option<Count>,
     pub(super) _run: Count,
 }
 
@@ -90,12 +90,12 @@
             });
         }
         let copy = self.choose_copy_engine(worker);
-        let is_read = from.is_none() && self.last_event.is_none();
+        let is_new_prompt = from.is_none() && self.last_event.is_none();
         let need = self.need();
         let cached_tokens = traffic.cached_tokens_at(&self.job.demand, worker);
         let pending_tokens = need.prompt_tokens.saturating_sub(cached_tokens);
         let run = worker.count(What::Run, need.memory_tokens());
-        let reading = from.is_none().then(|| worker.count(What::Reading, pending_tokens));
+        let prefill_count = from.is_none().then(|| worker.count(What::Reading, pending_tokens));
         let request = self
             .job
             .request(&*traffic.dialect, &self.dispatch(worker, copy.as_ref(), from.as_ref()));
@@ -126,14 +126,14 @@
         if status != 200 {
             return Err(self.forward_error(worker, lease, response, &metadata).await);
         }
-        if is_read {
+        if is_new_prompt {
             traffic.note_first_event_wait(&self.job, traffic.now_ms() - sent_ms);
         }
         self.progress.response_started_ms = Some(traffic.now_ms());
         self.set_growing_copy(copy);
         let body = self.start_body(response);
         let worker = Rc::clone(worker);
-        Ok(OpenResponse { worker, lease, body, metadata, silences, reading, _run: run })
+        Ok(OpenResponse { worker, lease, body, metadata, silences, prefill_count, _run: run })
     }
 
     fn count_attempt(&mut self) {
--- a/src/gateway/stream/copy.rs
+++ b/src/gateway/stream/copy.rs
@@ -92,7 +92,7 @@
         (self.is_eligible(&chosen) && has_room()).then_some(chosen)
     }
 
-    /// Whether the copy at an engine is still usable. It is at a suspected engine, too, since a probe
+    /// Whether the copy at an engine is still usable, also at a suspected engine, since a probe
     /// costs less than a new copy.
     pub(super) fn is_copy_usable(&self, worker: &Worker) -> bool {
         let now_ms = self.traffic.now_ms();
--- a/src/gateway/stream/crashes.rs
+++ b/src/gateway/stream/crashes.rs
@@ -17,8 +17,8 @@
     ) -> Outcome {
         let now_ms = self.traffic.now_ms();
         worker.broke(now_ms);
-        let answered_ms = self.progress.response_started_ms.map(|since_ms| now_ms - since_ms);
-        if let Some(stage) = quarantine::stage_of_stream(answered_ms, self.progress.events) {
+        let since_response_ms = self.progress.response_started_ms.map(|since_ms| now_ms - since_ms);
+        if let Some(stage) = quarantine::stage_of_stream(since_response_ms, self.progress.events) {
             let event = self.last_event.unwrap_or(0);
             self.unjudged_crashes
                 .push(UnjudgedCrash { at_ms: now_ms, points: quarantine::points(stage) });
--- a/src/gateway/stream/relay.rs
+++ b/src/gateway/stream/relay.rs
@@ -45,8 +45,15 @@
 impl Run {
     /// Forwards whole events until the stream ends or fails.
     pub(super) async fn relay(&mut self, opened: OpenResponse) -> Outcome {
-        let OpenResponse { worker, lease, mut body, metadata, mut silences, mut reading, _run } =
-            opened;
+        let OpenResponse {
+            worker,
+            lease,
+            mut body,
+            metadata,
+            mut silences,
+            mut prefill_count,
+            _run,
+        } = opened;
         let worker = &worker;
         let traffic = Rc::clone(&self.traffic);
         let timeouts = self.silence_timeouts();
@@ -56,7 +63,7 @@
         let mut last_data_ms = first_ms;
         let mut silence = Silence::new(last_data_ms);
         loop {
-            let quiet_ms = match reading {
+            let quiet_ms = match prefill_count {
                 Some(_) => timeouts.first_ms,
                 None if traffic.prefills_at(worker) > 0 => timeouts.reading_gap_ms,
                 None => timeouts.gap_ms,
@@ -82,7 +89,13 @@
                     }
                     let times = EventTimes { first_ms, last_data_ms };
                     match self
-                        .check_silence(worker, &mut body, times, &mut silence, reading.is_some())
+                        .check_silence(
+                            worker,
+                            &mut body,
+                            times,
+                            &mut silence,
+                            prefill_count.is_some(),
+                        )
                         .await
                     {
                         SilenceCheck::Frame(frame) => frame,
@@ -119,7 +132,7 @@
                 return lost_run("an event exceeds the maximum length", LossCause::EngineAlive);
             }
             traffic.note_run_start(&self.job, last_data_ms);
-            if reading.take().is_some() {
+            if prefill_count.take().is_some() {
                 traffic.notify_peers();
             }
             self.maintain_copy(worker);
@@ -138,7 +151,7 @@
         body: &mut Incoming,
         times: EventTimes,
         silence: &mut Silence,
-        is_reading: bool,
+        awaits_first_event: bool,
     ) -> SilenceCheck {
         let traffic = Rc::clone(&self.traffic);
         let probed_ms = traffic.now_ms();
@@ -161,7 +174,7 @@
         }
         let can_move = self.copy.is_some() && self.stall_handovers < MAX_STALL_HANDOVERS;
         // Without another attempt the run would have to be given up, although its engine is alive.
-        if is_reading || !can_move || !self.can_retry_elsewhere(self.attempts) {
+        if awaits_first_event || !can_move || !self.can_retry_elsewhere(self.attempts) {
             return SilenceCheck::Wait;
         }
         let since_first_ms = probed_ms.saturating_sub(times.first_ms);
@@ -170,14 +183,14 @@
         }
         let timeouts = self.silence_timeouts();
         let has_pending_prompts = liveness.has_pending_prompts();
-        let stuck_ms =
+        let stall_ms =
             if has_pending_prompts { timeouts.stuck_reading_ms } else { timeouts.stuck_ms };
-        let stuck_ms = times.last_data_ms + stuck_ms;
+        let stall_ms = times.last_data_ms + stall_ms;
         tokio::select! {
             frame = body.frame() => SilenceCheck::Frame(frame),
             () = caller_disconnected(&mut self.response_tx, &self.body_tx) =>
                 SilenceCheck::Leave(Outcome::CallerDisconnected),
-            () = sleep_until(&traffic, stuck_ms) => {
+            () = sleep_until(&traffic, stall_ms) => {
                 self.hand_over(worker, "engine sends no events").await
             }
         }
--- a/src/gateway/traffic.rs
+++ b/src/gateway/traffic.rs
@@ -76,6 +76,7 @@
     pub final_responses_due: watch::Sender<bool>,
     /// Sum of the runs and tokens at all upstreams as of the last sweep.
     reported_load: Cell<u64>,
+    /// Engines that hold a prompt prefix, by the hash of the prefix.
     cache_locations: RefCell<BTreeMap<u64, Vec<CacheLocation>>>,
     /// Output tokens of complete streams, by service.
     output_lengths: RefCell<BTreeMap<Arc<str>, Latencies>>,
@@ -86,7 +87,9 @@
     retry_budgets: RefCell<BTreeMap<Arc<str>, Budget>>,
     /// Services whose engines have been queried for cached prompts since the start.
     cache_queried: RefCell<BTreeSet<Arc<str>>>,
+    /// Liveness probes in progress, by upstream.
     probes: RefCell<BTreeMap<Arc<str>, losses::Probe>>,
+    /// Second probes in progress, with a longer timeout, by upstream.
     second_probes: RefCell<BTreeMap<Arc<str>, losses::Probe>>,
     /// Checks in progress whether an upstream's process has exited.
     exit_checks: RefCell<BTreeMap<Arc<str>, endings::ExitCheck>>,
@@ -94,6 +97,7 @@
     last_crash_ms: Cell<Option<u64>>,
     losses: RefCell<Losses>,
     outages: RefCell<Outages>,
+    /// Durations of attempts on idempotent routes, by route.
     latencies: RefCell<BTreeMap<Arc<str>, Latencies>>,
     /// Microseconds from sending to the first event per prompt token, by service.
     first_event_us_per_token: RefCell<BTreeMap<Arc<str>, Latencies>>,
