--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -374,7 +374,7 @@
     if marks.id.is_some() && marks.id != job.demand.id {
         worker.ended(true, now_ms);
         traffic.metrics.count("answers_of_other_requests");
-        traffic.note_announced_limits(worker, &marks);
+        traffic.note_advertised_limits(worker, &marks);
         return Outcome::Unknown { detail: "the answer belongs to another request".to_owned() };
     }
     if whole.status == 421 {
--- a/src/gateway/stream/attempt.rs
+++ b/src/gateway/stream/attempt.rs
@@ -298,7 +298,7 @@
         let now_ms = self.traffic.now_ms();
         if metadata.id.is_some() && metadata.id != self.job.demand.id {
             self.traffic.metrics.count("answers_of_other_requests");
-            self.traffic.note_announced_limits(worker, metadata);
+            self.traffic.note_advertised_limits(worker, metadata);
             return Some(lost_run(
                 "the response belongs to another request",
                 LossCause::EngineAlive,
--- a/src/gateway/stream/crashes.rs
+++ b/src/gateway/stream/crashes.rs
@@ -1,9 +1,9 @@
-//! Crashes of engines during a run: reporting them, and waiting for the verdicts on them.
+//! Crashes of engines during a run: reporting them, and waiting for their judgement.
 
 use std::rc::Rc;
 
 use super::super::policy::quarantine::{self, CLEARING_EVENTS};
-use super::super::traffic::VERDICT_WAIT_MS;
+use super::super::traffic::JUDGEMENT_WAIT_MS;
 use super::super::worker::Worker;
 use super::{LossCause, Outcome, Run, UnjudgedCrash, lost_run};
 
@@ -30,18 +30,18 @@
         lost_run(detail, LossCause::ConnectionClosed)
     }
 
-    /// Waits for the verdicts on crashes during the run if they may quarantine the request, since
+    /// Waits for the judgement of crashes during the run if it may quarantine the request, since
     /// another attempt before that could crash one more engine. Returns false if the deadline has
     /// passed or the caller has disconnected.
-    pub(super) async fn wait_for_crash_verdicts(&mut self) -> bool {
+    pub(super) async fn wait_for_crash_judgements(&mut self) -> bool {
         let now_ms = self.traffic.now_ms();
-        self.unjudged_crashes.retain(|crash| crash.at_ms + VERDICT_WAIT_MS > now_ms);
+        self.unjudged_crashes.retain(|crash| crash.at_ms + JUDGEMENT_WAIT_MS > now_ms);
         let points = self.unjudged_crashes.iter().map(|crash| crash.points).sum();
         let Some(last) = self.unjudged_crashes.last().copied() else { return true };
         if !self.traffic.may_be_quarantined(&self.job, points) {
             return true;
         }
-        if self.wait(last.at_ms + VERDICT_WAIT_MS - now_ms).await {
+        if self.wait(last.at_ms + JUDGEMENT_WAIT_MS - now_ms).await {
             return true;
         }
         self.give_up(self.deadline_failure());
--- a/src/gateway/traffic.rs
+++ b/src/gateway/traffic.rs
@@ -8,7 +8,7 @@
 mod signals;
 
 pub(super) use self::losses::{Liveness, MAX_TIMER_LAG_MS};
-pub(super) use self::quarantine::VERDICT_WAIT_MS;
+pub(super) use self::quarantine::JUDGEMENT_WAIT_MS;
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
--- a/src/gateway/traffic/quarantine.rs
+++ b/src/gateway/traffic/quarantine.rs
@@ -12,10 +12,10 @@
 use super::super::worker::Worker;
 use super::Traffic;
 
-/// Time within which a verdict on a crash reaches the traffic thread of this instance.
-const VERDICT_DELIVERY_MS: u64 = 50;
-/// How long a request waits after a crash before it resumes, if the verdict may quarantine it.
-pub(in super::super) const VERDICT_WAIT_MS: u64 = SETTLE_MS + VERDICT_DELIVERY_MS;
+/// Time within which the judgement of a crash reaches the traffic thread of this instance.
+const JUDGEMENT_DELIVERY_MS: u64 = 50;
+/// How long a request waits after a crash before it resumes, if the judgement may quarantine it.
+pub(in super::super) const JUDGEMENT_WAIT_MS: u64 = SETTLE_MS + JUDGEMENT_DELIVERY_MS;
 
 impl Traffic {
     /// What the quarantine knows of a request. Computes no fingerprint while the quarantine is
@@ -52,8 +52,8 @@
         self.refuse(job, &failure, retry_after_ms)
     }
 
-    /// Whether one more crash may quarantine a request, given `points` of crashes that have no
-    /// verdict yet.
+    /// Whether one more crash may quarantine a request, given `points` of crashes that are not
+    /// judged yet.
     pub fn may_be_quarantined(&self, job: &Job, points: u32) -> bool {
         let counted = self.quarantine_entry(job).unwrap_or_default().points;
         quarantine::may_follow(counted + points)
@@ -90,11 +90,11 @@
     }
 
     /// Reports that a request was served, completely or up to an event, if crashes count against it
-    /// or await a verdict.
+    /// or await judgement.
     pub fn note_served(&self, job: &Job, event: Option<u64>) {
-        let awaits_verdict = |at_ms| at_ms + VERDICT_WAIT_MS > self.now_ms();
+        let awaits_judgement = |at_ms| at_ms + JUDGEMENT_WAIT_MS > self.now_ms();
         if self.quarantine_entry(job).is_some()
-            || self.last_crash_ms.get().is_some_and(awaits_verdict)
+            || self.last_crash_ms.get().is_some_and(awaits_judgement)
         {
             self.shared.report(Report::Served(job.fingerprint(), event));
         }
--- a/src/gateway/traffic/signals.rs
+++ b/src/gateway/traffic/signals.rs
@@ -1,4 +1,4 @@
-//! Handling of what upstreams announce in responses: load, backoff, rate limits and leaving.
+//! Handling of what upstreams say in responses about load, backoff, rate limits and leaving.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -42,13 +42,13 @@
         if metadata.rate_limit.is_none() {
             self.set_rate_limit(worker, None, self.now_ms(), "its response");
         }
-        self.note_announced_limits(worker, metadata);
+        self.note_advertised_limits(worker, metadata);
     }
 
-    /// Processes the restrictions that a response announces: a rate limit, or that the upstream is
+    /// Processes the restrictions that a response states: a rate limit, or that the upstream is
     /// leaving. They hold in a response to another request as well; such a response may be old, so
     /// it lifts no restriction.
-    pub fn note_announced_limits(&self, worker: &Worker, metadata: &Marks) {
+    pub fn note_advertised_limits(&self, worker: &Worker, metadata: &Marks) {
         if metadata.is_leaving && worker.note_said_leaving() {
             self.log_leaving(worker, "its response");
             self.shared.signal(Signal::Departure(Departure::of(&worker.upstream)));
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Records the rate limit that an upstream announced; `by` names the source in the log.
+    /// Records the rate limit that an upstream advertised; `by` names the source in the log.
     fn set_rate_limit(&self, worker: &Worker, rate: Option<Rate>, at_ms: u64, by: &'static str) {
         let previous = worker.set_rate_limit(rate, at_ms);
         let now = worker.rate_limit();
@@ -99,8 +99,8 @@
 
     /// The upstream's rate limit over all instances, as it or a peer last reported.
     fn rate_limit(&self, worker: &Worker) -> Option<Rate> {
-        if let Some(named) = self.shared.view.load().named_rates.of(&worker.upstream.id) {
-            self.set_rate_limit(worker, Some(named.rate), named.at_ms, "a peer");
+        if let Some(advertised) = self.shared.view.load().named_rates.of(&worker.upstream.id) {
+            self.set_rate_limit(worker, Some(advertised.rate), advertised.at_ms, "a peer");
         }
         worker.rate_limit()
     }
