--- a/src/gateway/control/shares.rs
+++ b/src/gateway/control/shares.rs
@@ -1,5 +1,5 @@
-//! The controller of what this instance holds of the services that have too many upstreams for all
-//! instances to hold them all.
+//! Decides which upstreams of large services this instance holds. A service is large if it has too many
+//! upstreams for every instance to hold them all; an instance then holds a share of them, chosen by hash.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -7,158 +7,164 @@
 use std::sync::Arc;
 
 use super::super::fleet::Upstream;
-use super::super::loads::Part;
+use super::super::loads::UpstreamSubset;
 use super::super::membership::Message;
-use super::super::policy::subset::{self, Holder, Share};
+use super::super::policy::subset::{self, InstanceSubset, Share};
 use super::super::policy::watchers;
-use super::{Board, Control};
+use super::{Control, ControlState};
 
-/// How long an upstream counts that this instance asked for by its id: long enough to send a request.
-const GUEST_MS: u64 = 1_000;
-/// How long an instance holds more of the large services than it must, after it had no upstream left.
-const WIDE_MS: u64 = 30_000;
-/// From when on an instance that started knows about all members: among the few of the first moments, each
-/// would take its part for too narrow, or itself for one that holds all, and all would fetch at once.
-const MEMBERS_KNOWN_MS: u64 = 5_000;
-/// How long an instance must have no reason to hold all upstreams before it leaves them to others: ranks
-/// change while many start or end.
-const NARROW_AFTER_MS: u64 = 5_000;
+/// How long an upstream that was looked up by its id is published: long enough to send a request to it.
+const TEMPORARY_UPSTREAM_TTL_MS: u64 = 1_000;
+/// How long an instance keeps a wider share than it needs after it ran out of upstreams.
+const MIN_WIDENED_MS: u64 = 30_000;
+/// How long after its start an instance knows nearly all members. While it knows only a few, it would consider
+/// its share too narrow, or itself one of those that hold all upstreams, and all instances would fetch at
+/// once.
+const MEMBERSHIP_KNOWN_MS: u64 = 5_000;
+/// How long an instance's rank must not require it to hold all upstreams before it narrows its share: ranks
+/// change while many instances start or stop.
+const NARROW_DELAY_MS: u64 = 5_000;
 
 impl Control {
-    /// Takes on which services are large, as whoever holds all upstreams says: of those that are now,
-    /// this instance keeps its share; those that no longer are, it fetches.
-    pub(super) fn follow_large(&self, board: &mut Board, told: &Part) {
-        if board.part.large == told.large {
+    /// Adopts the set of large services from an instance that holds all upstreams: narrows services that became
+    /// large to this instance's share, and requests a fetch for those that no longer are.
+    pub(super) fn adopt_large_services(&self, state: &mut ControlState, reported: &UpstreamSubset) {
+        if state.held_part.large == reported.large {
             return;
         }
-        let is_less = board.part.large.iter().any(|service| !told.large.contains(service));
-        board.part.large = told.large.clone();
-        board.suitable = None;
-        if board.part.share.is_all() {
+        let has_fewer_large =
+            state.held_part.large.iter().any(|service| !reported.large.contains(service));
+        state.held_part.large = reported.large.clone();
+        state.cached_suitable_share = None;
+        if state.held_part.share.is_all() {
             return;
         }
-        if is_less {
-            let is_small = told.large.is_empty();
-            board.wanted_share = Some(if is_small { Share::ALL } else { board.part.share });
+        if has_fewer_large {
+            let has_no_large = reported.large.is_empty();
+            state.wanted_share =
+                Some(if has_no_large { Share::ALL } else { state.held_part.share });
         }
-        let Board { fleet, part, .. } = board;
-        fleet.narrow(holds(&self.me.id, part));
+        let ControlState { fleet, held_part, .. } = state;
+        fleet.narrow(holds(&self.me.id, held_part));
     }
 
-    /// The share of the large services that suits the fleet, as far as this instance's part of them tells.
-    pub(super) fn suitable_share(board: &Board) -> Share {
-        let services = board.fleet.upstreams.values().map(|upstream| &upstream.service);
-        let large = services.filter(|service| board.part.large.contains(*service));
-        subset::share(large, board.part.share, board.membership.alive().count() + 1)
+    /// The share of the large services that suits the size of the fleet, estimated from the upstreams held here.
+    pub(super) fn suitable_share(state: &ControlState) -> Share {
+        let services = state.fleet.upstreams.values().map(|upstream| &upstream.service);
+        let large = services.filter(|service| state.held_part.large.contains(*service));
+        subset::suitable_share(large, state.held_part.share, state.membership.alive().count() + 1)
     }
 
-    /// Works out which services are large, which whoever holds all upstreams does.
-    pub(super) fn note_large(board: &mut Board) {
-        if board.part.share.is_all() {
-            let services = board.fleet.upstreams.values().map(|upstream| &upstream.service);
-            board.part.large = subset::large(services, &board.part.large);
+    /// Recomputes which services are large, if this instance holds all upstreams.
+    pub(super) fn update_large_services(state: &mut ControlState) {
+        if state.held_part.share.is_all() {
+            let services = state.fleet.upstreams.values().map(|upstream| &upstream.service);
+            state.held_part.large = subset::large_services(services, &state.held_part.large);
         }
     }
 
-    /// Holds as much of the large services as this instance's rank asks for, and more for a while after
-    /// it had no upstream left to send a request to.
-    pub(super) fn settle_share(&self, now_ms: u64) {
-        let mut board = self.board.borrow_mut();
-        if !board.has_fleet || board.part.large.is_empty() || board.wanted_share.is_some() {
+    /// Adjusts the share of the large services to this instance's rank and the number of instances. A wider
+    /// share is kept for a while after the instance ran out of upstreams.
+    pub(super) fn adjust_share(&self, now_ms: u64) {
+        let mut state = self.state.borrow_mut();
+        if !state.has_fleet || state.held_part.large.is_empty() || state.wanted_share.is_some() {
             return;
         }
-        let before_me = board.membership.before_me();
-        let instances = board.membership.alive().count() + 1;
-        let share = board.part.share;
-        if watchers::keeps_all(before_me) {
-            board.narrows_since_ms = None;
-            if !share.is_all() && now_ms >= MEMBERS_KNOWN_MS {
-                board.wanted_share = Some(Share::ALL);
+        let before_me = state.membership.ranked_before_self();
+        let instances = state.membership.alive().count() + 1;
+        let share = state.held_part.share;
+        if watchers::holds_all(before_me) {
+            state.can_narrow_since_ms = None;
+            if !share.is_all() && now_ms >= MEMBERSHIP_KNOWN_MS {
+                state.wanted_share = Some(Share::ALL);
             }
             return;
         }
-        if now_ms >= MEMBERS_KNOWN_MS && subset::is_too_narrow(share, instances) {
-            board.wanted_share = Some(share.wider());
+        if now_ms >= MEMBERSHIP_KNOWN_MS && subset::is_too_narrow(share, instances) {
+            state.wanted_share = Some(share.wider());
             return;
         }
-        let since_ms = *board.narrows_since_ms.get_or_insert(now_ms);
-        let is_settled = watchers::is_far_behind(before_me) || now_ms >= since_ms + NARROW_AFTER_MS;
-        let suitable = Control::suitable_share(&board);
-        let is_wide = suitable > share && (share.is_all() || suitable > share.narrower());
-        if is_wide && is_settled && !board.is_watching && now_ms >= board.wide_until_ms {
-            self.narrow(&mut board, suitable);
-            drop(board);
+        let since_ms = *state.can_narrow_since_ms.get_or_insert(now_ms);
+        let is_settled =
+            watchers::is_far_from_holding_all(before_me) || now_ms >= since_ms + NARROW_DELAY_MS;
+        let suitable = Control::suitable_share(&state);
+        let is_too_wide = suitable > share && (share.is_all() || suitable > share.narrower());
+        if is_too_wide && is_settled && !state.is_watching && now_ms >= state.widened_until_ms {
+            self.narrow(&mut state, suitable);
+            drop(state);
             self.dirty.notify_one();
         }
     }
 
-    /// Leaves upstreams of large services to others.
-    fn narrow(&self, board: &mut Board, share: Share) {
-        let Board { fleet, part, .. } = board;
-        part.share = share;
-        fleet.narrow(holds(&self.me.id, part));
-        slog::info!(self.log, "upstreams of large services left to others";
+    /// Drops the upstreams of large services that are outside a share.
+    fn narrow(&self, state: &mut ControlState, share: Share) {
+        let ControlState { fleet, held_part, .. } = state;
+        held_part.share = share;
+        fleet.narrow(holds(&self.me.id, held_part));
+        slog::info!(self.log, "share narrowed; upstreams of large services dropped";
             "halvings" => share.halvings(), "left" => fleet.upstreams.len());
     }
 
-    /// Asks for an upstream that this instance doesn't hold, at which a request goes on.
-    pub(super) fn ask_upstream(&self, id: Arc<str>) {
-        let holders: Vec<SocketAddr> = Control::list_holders(&self.board.borrow()).collect();
+    /// Looks up an upstream that this instance doesn't hold, on which a request is to continue.
+    pub(super) fn request_upstream(&self, id: Arc<str>) {
+        let holders: Vec<SocketAddr> = Control::list_holders(&self.state.borrow()).collect();
         if let Some(addr) = fastrand::choice(holders) {
             self.send(&Message::AskUpstream(id), &[addr]);
         }
     }
 
-    pub(super) fn hear_upstream_ask(&self, id: &str, from: SocketAddr) {
-        let upstream = self.board.borrow().fleet.upstreams.get(id).cloned();
+    pub(super) fn handle_upstream_request(&self, id: &str, from: SocketAddr) {
+        let upstream = self.state.borrow().fleet.upstreams.get(id).cloned();
         if let Some(upstream) = upstream {
             self.send(&Message::Upstream(upstream), &[from]);
         }
     }
 
-    /// Has traffic know an upstream for a moment that this instance doesn't hold. Nobody tells it what
-    /// becomes of that one, so it is forgotten before a change of it must be in force.
-    pub(super) fn take_guest(&self, upstream: Upstream) {
-        let until_ms = self.clock.now_ms() + GUEST_MS;
-        let mut board = self.board.borrow_mut();
-        board.guests.insert(Arc::clone(&upstream.id), Guest { upstream, until_ms });
-        board.guest_changes += 1;
-        drop(board);
+    /// Publishes an upstream that this instance doesn't hold for a short time. No peer sends changes of this
+    /// upstream, so it is dropped before a change of it must be in force.
+    pub(super) fn add_temporary_upstream(&self, upstream: Upstream) {
+        let until_ms = self.clock.now_ms() + TEMPORARY_UPSTREAM_TTL_MS;
+        let mut state = self.state.borrow_mut();
+        state
+            .temporary_upstreams
+            .insert(Arc::clone(&upstream.id), TemporaryUpstream { upstream, until_ms });
+        state.temporary_upstream_changes += 1;
+        drop(state);
         self.publish();
     }
 
-    /// Wants more of the large services, since no upstream is left of those that this instance holds.
+    /// Requests a wider share of the large services, since none of the held upstreams is usable.
     pub(super) fn widen_share(self: &Rc<Control>) {
         let now_ms = self.clock.now_ms();
-        let mut board = self.board.borrow_mut();
-        board.wide_until_ms = now_ms + WIDE_MS;
-        if board.part.share.is_all() || board.wanted_share.is_some() {
+        let mut state = self.state.borrow_mut();
+        state.widened_until_ms = now_ms + MIN_WIDENED_MS;
+        if state.held_part.share.is_all() || state.wanted_share.is_some() {
             return;
         }
-        let wider = board.part.share.wider();
-        board.wanted_share = Some(wider);
-        drop(board);
-        slog::info!(self.log, "no upstream left; more are fetched"; "halvings" => wider.halvings());
+        let wider = state.held_part.share.wider();
+        state.wanted_share = Some(wider);
+        drop(state);
+        slog::info!(self.log, "no usable upstream left; fetching a wider share"; "halvings" => wider.halvings());
         self.metrics.count("shares_widened");
         self.fetch_if_behind(now_ms);
     }
 }
 
-/// Whether an instance holds an upstream, by the upstream's id and service.
-pub(super) fn holds(instance: &str, part: &Part) -> impl Fn(&str, &str) -> bool + use<> {
-    let holder = Holder::new(instance);
-    let Part { share, large } = part.clone();
+/// A predicate on an upstream's id and service: whether an instance with this part holds the upstream.
+pub(super) fn holds(instance: &str, part: &UpstreamSubset) -> impl Fn(&str, &str) -> bool + use<> {
+    let holder = InstanceSubset::new(instance);
+    let UpstreamSubset { share, large } = part.clone();
     move |id, service| !large.contains(service) || holder.holds(id, share)
 }
 
-/// An upstream that this instance doesn't hold.
+/// An upstream outside this instance's share that is published for a short time.
 #[derive(Debug, Clone)]
-pub(super) struct Guest {
+pub(super) struct TemporaryUpstream {
     pub(super) upstream: Upstream,
     pub(super) until_ms: u64,
 }
 
-/// What this instance holds before it knows anything.
-pub(super) fn everything() -> Part {
-    Part { share: Share::ALL, large: BTreeSet::new() }
+/// The part of the list that an instance holds before it has received any: all of it.
+pub(super) fn full_part() -> UpstreamSubset {
+    UpstreamSubset { share: Share::ALL, large: BTreeSet::new() }
 }
--- a/src/gateway/front.rs
+++ b/src/gateway/front.rs
@@ -1,4 +1,4 @@
-//! Callers' connections: reading requests within the limits, and passing each to its service.
+//! Reads callers' requests within the limits, finds their routes, and passes them to their services.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -22,32 +22,33 @@
 use super::traffic::Traffic;
 use super::{call, stream};
 
-/// The time that a caller has if it names none and the route has no bound either.
+/// The deadline of a request if the caller sets none, and the timeout of a route that sets none.
 const DEFAULT_DEADLINE_MS: u64 = 30_000;
-/// The most of a refused body that is read, so that the caller sees the answer and not a reset.
-const DISCARD_BYTES: usize = 8 << 20;
-/// Serves a request; it has its answer before a planned stop ends, whichever it is.
+/// How much of a refused body is read, so that the caller gets the answer instead of a reset.
+const MAX_DISCARDED_BYTES: usize = 8 << 20;
+
+/// Serves a request. If a planned stop is under way, it is answered or refused before the stop ends.
 pub async fn serve(traffic: &Rc<Traffic>, demand: Demand, request: Request<Incoming>) -> Answer {
     let mut answer = dispatch(traffic, demand, request).await;
     if traffic.stop.get().is_some() {
-        // Callers open their next connection elsewhere.
+        // The caller's next connection then goes to another instance.
         answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
     answer
 }
 
-/// Reads a request and passes it to its service.
+/// Reads a request, and refuses it or passes it to its service.
 async fn dispatch(traffic: &Rc<Traffic>, demand: Demand, request: Request<Incoming>) -> Answer {
     let id = demand.id.clone();
     let (host, path) =
         (host(request.headers(), request.uri()).to_owned(), request.uri().path().to_owned());
     let read = tokio::select! {
         biased;
-        read = read(traffic, demand, request) => read,
-        // Nothing of it was sent anywhere, nor will be.
+        read = read_request(traffic, demand, request) => read,
+        // No part of it was sent to an upstream or will be.
         () = traffic.wait_for_final_responses() => {
             let failure = Failure::Stopping;
-            Err(Rejected { failure, id, host, path, config_version: 0, after_ms: None })
+            Err(Rejected { failure, id, host, path, config_version: 0, retry_after_ms: None })
         }
     };
     match read {
@@ -58,30 +59,30 @@
             biased;
             answer = call::serve(traffic, &job) => answer,
             () = traffic.wait_for_final_responses() => traffic.refuse(&job, &Failure::Stopped, None),
-            // It may run at an upstream, which crashes if it begins to.
+            // An upstream may be running it, and may crash from it.
             () = traffic.wait_until_quarantined(&job) => {
                 let failure = Failure::Poison { fingerprint: job.fingerprint() };
-                let after_ms = traffic.retry_after_ms(&job, &failure);
-                traffic.refuse(&job, &failure, after_ms)
+                let retry_after_ms = traffic.retry_after_ms(&job, &failure);
+                traffic.refuse(&job, &failure, retry_after_ms)
             }
         },
         Err(rejected) => {
             traffic.metrics.count("rejected");
             rejected.log(traffic);
-            answer::failed(&rejected.failure, rejected.after_ms)
+            answer::failed(&rejected.failure, rejected.retry_after_ms)
         }
     }
 }
 
-/// A request that never reached a service, with what decided that.
+/// A request that was refused before it reached a service, with the reason and details for the log.
 struct Rejected {
     failure: Failure,
     id: Option<Arc<str>>,
     host: String,
     path: String,
     config_version: u64,
-    /// When to come back, where that follows from how this instance stands.
-    after_ms: Option<u64>,
+    /// When the caller should retry, if the state of this instance determines it.
+    retry_after_ms: Option<u64>,
 }
 
 impl Rejected {
@@ -92,20 +93,21 @@
     }
 }
 
-/// Waits a moment for a configuration, if this instance has none yet.
+/// Waits for a configuration if this instance has none yet, for a part of the time that the caller
+/// has.
 async fn wait_for_configuration(traffic: &Traffic, demand: &Demand) {
     if *traffic.shared.is_configured.borrow() || !Mechanism::KeptAtStart.is_on() {
         return;
     }
-    let kept_ms = outages::kept_ms(demand.deadline_ms.unwrap_or(DEFAULT_DEADLINE_MS));
+    let kept_ms = outages::startup_hold_ms(demand.deadline_ms.unwrap_or(DEFAULT_DEADLINE_MS));
     let mut is_configured = traffic.shared.is_configured.subscribe();
     let configured = is_configured.wait_for(|is_configured| *is_configured);
-    // Without one in time, the request is refused.
+    // If none arrives in time, `read_request` refuses the request.
     let _ = tokio::time::timeout(Duration::from_millis(kept_ms), configured).await;
 }
 
-/// Reads a request to its end, finds its route and checks its key.
-async fn read(
+/// Finds the route of a request, checks its key and reads its body.
+async fn read_request(
     traffic: &Traffic,
     demand: Demand,
     request: Request<Incoming>,
@@ -121,15 +123,15 @@
         host: host.clone(),
         path: head.uri.path().to_owned(),
         config_version: view.config.as_ref().map_or(0, |config| config.version),
-        after_ms: None,
+        retry_after_ms: None,
     };
     let Some(config) = view.config.as_ref() else {
         let is_silent = view.is_directory_silent && Mechanism::RetryAfter.is_on();
-        let after_ms = is_silent.then(|| {
+        let retry_after_ms = is_silent.then(|| {
             let left_ms = demand.deadline_ms.unwrap_or(DEFAULT_DEADLINE_MS);
-            outages::starting_after_ms(left_ms, &mut fastrand::Rng::new())
+            outages::starting_retry_after_ms(left_ms, &mut fastrand::Rng::new())
         });
-        return Err(Rejected { after_ms, ..reject(Failure::Starting) });
+        return Err(Rejected { retry_after_ms, ..reject(Failure::Starting) });
     };
     let admitted = admit(config, &demand, &head.headers, &host, head.uri.path());
     let (route, organisation) = match admitted {
@@ -143,9 +145,10 @@
     let service = route.target(fastrand::u64(..));
     let service = service.ok_or_else(|| reject(Failure::NoUpstream))?;
     traffic.note_request(service);
-    let priority = organisation.as_ref().and_then(|known| known.priority);
-    let patience_ms = demand.deadline_ms.unwrap_or(DEFAULT_DEADLINE_MS);
-    let bound_ms = if route.timeout_ms > 0 { route.timeout_ms } else { DEFAULT_DEADLINE_MS };
+    let priority = organisation.as_ref().and_then(|organisation| organisation.priority);
+    let caller_timeout_ms = demand.deadline_ms.unwrap_or(DEFAULT_DEADLINE_MS);
+    let route_timeout_ms =
+        if route.timeout_ms > 0 { route.timeout_ms } else { DEFAULT_DEADLINE_MS };
     let mut headers = headers::end_to_end(head.headers);
     traffic.dialect.strip(&mut headers);
     headers.remove(CONTENT_LENGTH);
@@ -154,10 +157,10 @@
         method: head.method,
         headers,
         service: Arc::clone(service),
-        organisation: organisation.map(|known| known.name),
+        organisation: organisation.map(|organisation| organisation.name),
         priority: priority.unwrap_or(route.priority),
         since_ms,
-        until_ms: since_ms + patience_ms.min(bound_ms),
+        until_ms: since_ms + caller_timeout_ms.min(route_timeout_ms),
         route,
         demand,
         body,
@@ -165,10 +168,10 @@
     })
 }
 
-/// The host that a request names.
+/// The host from the `Host` header, else from the URI.
 fn host<'a>(headers: &'a HeaderMap, uri: &'a hyper::Uri) -> &'a str {
-    let named = headers.get(HOST).and_then(|host| host.to_str().ok());
-    named.or(uri.host()).unwrap_or_default()
+    let from_header = headers.get(HOST).and_then(|host| host.to_str().ok());
+    from_header.or(uri.host()).unwrap_or_default()
 }
 
 type Admitted = (Arc<Route>, Option<super::route::Organisation>);
@@ -195,9 +198,9 @@
 
 async fn read_body(body: Incoming, headers: &HeaderMap, limits: Limits) -> Result<Bytes, Failure> {
     let too_large = Failure::TooLarge { limit_bytes: limits.body_bytes };
-    let announced = headers.get(CONTENT_LENGTH).and_then(|value| value.to_str().ok());
-    let announced = announced.and_then(|value| value.parse::<u64>().ok()).unwrap_or(0);
-    if announced > limits.body_bytes as u64 {
+    let announced_bytes = headers.get(CONTENT_LENGTH).and_then(|value| value.to_str().ok());
+    let announced_bytes = announced_bytes.and_then(|value| value.parse::<u64>().ok()).unwrap_or(0);
+    if announced_bytes > limits.body_bytes as u64 {
         discard(body, limits).await;
         return Err(too_large);
     }
@@ -211,9 +214,9 @@
     }
 }
 
-/// Reads a body and drops it, since a connection closed with unread bytes is reset, and the caller
-/// would not see the answer.
+/// Reads and drops a body. Closing a connection with unread bytes would reset it, and the caller
+/// would not get the answer.
 async fn discard(body: Incoming, limits: Limits) {
-    let read = Limited::new(body, DISCARD_BYTES).collect();
+    let read = Limited::new(body, MAX_DISCARDED_BYTES).collect();
     let _ = tokio::time::timeout(Duration::from_millis(limits.head_timeout_ms), read).await;
 }
--- /dev/null
+++ b/src/gateway/loads/local_traffic.rs
@@ -0,0 +1,134 @@
+//! The traffic of this instance, and what of it was reported to others.
+
+use std::sync::Arc;
+
+use serde::{Deserialize, Serialize};
+
+/// The load at one upstream.
+#[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
+pub struct UpstreamLoad {
+    /// Id of the upstream.
+    pub upstream: Arc<str>,
+    /// Number of requests that run there.
+    pub runs: u32,
+    /// Number of copies of a run's KV cache that are stored there.
+    pub copies: u32,
+    /// Number of prompts that it is reading (prefill).
+    pub reading: u32,
+    /// Tokens of those prompts.
+    pub pending_tokens: u64,
+    /// Tokens of KV cache that the runs and copies occupy by their end.
+    pub reserved_tokens: u64,
+}
+
+impl UpstreamLoad {
+    /// No load at an upstream.
+    pub fn empty(upstream: Arc<str>) -> UpstreamLoad {
+        UpstreamLoad {
+            upstream,
+            runs: 0,
+            copies: 0,
+            reading: 0,
+            pending_tokens: 0,
+            reserved_tokens: 0,
+        }
+    }
+
+    /// Whether there is no load.
+    pub fn is_empty(&self) -> bool {
+        self.runs + self.copies + self.reading == 0
+    }
+
+    /// Adds another load at the same upstream.
+    pub fn add(&mut self, other: &UpstreamLoad) {
+        self.runs += other.runs;
+        self.copies += other.copies;
+        self.reading += other.reading;
+        self.pending_tokens += other.pending_tokens;
+        self.reserved_tokens += other.reserved_tokens;
+    }
+
+    /// Subtracts a load that was added before.
+    pub fn subtract(&mut self, other: &UpstreamLoad) {
+        self.runs = self.runs.saturating_sub(other.runs);
+        self.copies = self.copies.saturating_sub(other.copies);
+        self.reading = self.reading.saturating_sub(other.reading);
+        self.pending_tokens = self.pending_tokens.saturating_sub(other.pending_tokens);
+        self.reserved_tokens = self.reserved_tokens.saturating_sub(other.reserved_tokens);
+    }
+}
+
+/// Number of requests sent to a service within the window of the retry budget.
+#[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
+pub struct SentRequests {
+    /// Name of the service.
+    pub service: Arc<str>,
+    /// Requests from callers.
+    pub requests: u64,
+    /// Repeats of requests.
+    pub repeats: u64,
+}
+
+/// All that an instance reports about its traffic.
+#[derive(Debug, Clone, Default, PartialEq, Eq)]
+pub struct LocalTraffic {
+    /// Its load at upstreams.
+    pub loads: Vec<UpstreamLoad>,
+    /// The requests it sent recently.
+    pub sent: Vec<SentRequests>,
+    /// Upstreams that it lost recently.
+    pub lost: Vec<Arc<str>>,
+    /// Engines that read a prompt prefix, by the hash of the prefix. A caller whose instance died
+    /// continues at another one, which sends it to the engine that still has the prompt cached.
+    pub cache_locations: Vec<(u64, Arc<str>)>,
+}
+
+/// What changed since the last report.
+#[derive(Debug, Clone, Default, PartialEq, Eq)]
+pub struct TrafficChange {
+    /// The load at upstreams where it changed.
+    pub loads: Vec<UpstreamLoad>,
+    /// The requests it sent recently, if their number changed.
+    pub sent: Option<Vec<SentRequests>>,
+    /// Upstreams that it lost since.
+    pub lost: Vec<Arc<str>>,
+    /// Engines that read a prompt prefix, as far as this is new.
+    pub cache_locations: Vec<(u64, Arc<str>)>,
+}
+
+/// What was reported so far.
+#[derive(Debug, Clone, Default)]
+pub struct ReportedTraffic {
+    last: LocalTraffic,
+}
+
+impl ReportedTraffic {
+    /// Returns what has to be reported now, if anything, and records it as reported. A change in the
+    /// number of sent requests alone is not reported, because each request changes it.
+    pub fn take_changes(&mut self, own: LocalTraffic) -> Option<TrafficChange> {
+        let change = self.change(&own);
+        if change.loads.is_empty() && change.lost.is_empty() && change.cache_locations.is_empty() {
+            return None;
+        }
+        self.last = own;
+        Some(change)
+    }
+
+    fn change(&self, own: &LocalTraffic) -> TrafficChange {
+        let is_changed = |load: &&UpstreamLoad| !self.last.loads.contains(load);
+        let mut loads: Vec<UpstreamLoad> = own.loads.iter().filter(is_changed).cloned().collect();
+        let is_gone =
+            |before: &&UpstreamLoad| !own.loads.iter().any(|load| load.upstream == before.upstream);
+        let now_empty = self.last.loads.iter().filter(is_gone);
+        loads.extend(now_empty.map(|before| UpstreamLoad::empty(Arc::clone(&before.upstream))));
+        let is_new_loss = |id: &&Arc<str>| !self.last.lost.contains(id);
+        let is_new_location =
+            |location: &&(u64, Arc<str>)| !self.last.cache_locations.contains(location);
+        TrafficChange {
+            loads,
+            sent: (own.sent != self.last.sent).then(|| own.sent.clone()),
+            lost: own.lost.iter().filter(is_new_loss).cloned().collect(),
+            cache_locations: own.cache_locations.iter().filter(is_new_location).cloned().collect(),
+        }
+    }
+}
--- a/src/gateway/loads/message.rs
+++ b/src/gateway/loads/message.rs
@@ -1,4 +1,4 @@
-//! The messages about traffic.
+//! Messages about traffic, and about changes to the list of upstreams.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -8,66 +8,66 @@
 
 use super::super::fleet::Delta;
 use super::super::policy::subset::Share;
-use super::own::{Held, Sent};
+use super::local_traffic::{SentRequests, UpstreamLoad};
 
-/// What an instance tells its failure domain.
+/// The traffic of one instance, for the other instances of its failure domain.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LoadNews {
-    /// Who sends it.
+pub struct LoadUpdate {
+    /// Id of the sender.
     pub id: Arc<str>,
-    /// Its incarnation.
+    /// Incarnation of the sender.
     pub incarnation: u64,
-    /// Grows with each of its messages.
-    pub count: u64,
-    /// Whether what it doesn't name is nothing.
-    pub is_whole: bool,
-    /// What it has running.
-    pub held: Vec<Held>,
-    /// What it sent lately, if that changed.
-    pub sent: Option<Vec<Sent>>,
-    /// What instances of its failure domain sent that have ended since.
-    pub sent_by_ended: Vec<Sent>,
-    /// Which engine read a part of a prompt.
-    pub places: Vec<(u64, Arc<str>)>,
+    /// Sequence number of the message at its sender.
+    pub sequence: u64,
+    /// Whether the sender has no load at the upstreams that are not listed here.
+    pub is_complete: bool,
+    /// The sender's load at upstreams.
+    pub loads: Vec<UpstreamLoad>,
+    /// The requests it sent recently, if their number changed.
+    pub sent: Option<Vec<SentRequests>>,
+    /// The requests sent by instances of its failure domain that have ended since.
+    pub sent_by_ended: Vec<SentRequests>,
+    /// Engines that read a prompt prefix, by the hash of the prefix.
+    pub cache_locations: Vec<(u64, Arc<str>)>,
 }
 
-/// What all instances of a failure domain have, for the others.
+/// Summary of the traffic of all instances of a failure domain, for the other domains.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Digest {
-    /// The failure domain.
+    /// The failure domain of these instances.
     pub domain: Arc<str>,
-    /// What they have at upstreams where that changed lately, and at some others.
-    pub held: Vec<Held>,
-    /// What they sent lately.
-    pub sent: Vec<Sent>,
-    /// Which engine read a part of a prompt, as far as it is new.
-    pub places: Vec<(u64, Arc<str>)>,
-    /// Whether its receiver passes it on to its failure domain.
-    pub is_passed_on: bool,
+    /// Their load at upstreams where it changed recently, and at some others.
+    pub loads: Vec<UpstreamLoad>,
+    /// The requests they sent recently.
+    pub sent: Vec<SentRequests>,
+    /// Engines that read a prompt prefix, as far as this is new.
+    pub cache_locations: Vec<(u64, Arc<str>)>,
+    /// Whether the receiver forwards it within its failure domain.
+    pub must_forward: bool,
 }
 
-/// What changed in what all have to know.
+/// Changes to the data that all instances need.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Changes {
-    /// Who sends it.
+    /// Id of the sender.
     pub from: Arc<str>,
-    /// The version of the configuration that the sender has.
+    /// Version of the configuration that the sender has.
     pub config: u64,
-    /// The revision after which `fleet` holds all changes.
+    /// Revision since which `fleet` contains all changes; `u64::MAX` if it leaves them out.
     pub since: u64,
-    /// What changed in the list of upstreams.
+    /// Changes to the list of upstreams.
     pub fleet: Delta,
-    /// An instance that holds the whole list, for those that have none.
+    /// Address of an instance that holds the whole list, for instances that have none.
     pub holder: Option<SocketAddr>,
-    /// If `fleet` holds only what the receiver holds of large services, these.
-    pub part: Option<Part>,
+    /// The receiver's subset of the list, if `fleet` covers only this.
+    pub subset: Option<UpstreamSubset>,
 }
 
-/// Which part of the list of upstreams a message holds.
+/// The subset of the list of upstreams that an instance holds or a message covers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Part {
+pub struct UpstreamSubset {
     /// The share of the large services.
     pub share: Share,
-    /// The services that are too large to be held whole.
+    /// The services that are too large for each instance to hold all their upstreams.
     pub large: BTreeSet<Arc<str>>,
 }
--- a/src/gateway/membership/members.rs
+++ b/src/gateway/membership/members.rs
@@ -1,8 +1,8 @@
-//! The members, and what is heard and told of them.
+//! The member table: merges membership updates from other instances and queues the messages to send.
 
 mod probing;
 
-pub use self::probing::PROBE_MS;
+pub use self::probing::PROBE_INTERVAL_MS;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -13,475 +13,523 @@
 use super::super::instance::Registration;
 use super::super::policy::subset::Share;
 use super::super::policy::watchers::{self, Rank};
-use super::card::{Card, Member, Phase, Standing, Versions};
+use super::descriptor::{InstanceDescriptor, Member, MemberState, Phase, Versions};
 use super::message::{Message, Probe};
-use super::rumors::{FANOUT, Rumor, Rumors};
-use super::sums::Sums;
+use super::rumors::{GOSSIP_FANOUT, Rumor, RumorQueue};
+use super::sums::BucketChecksums;
 use crate::decide::Random;
 
-/// Observers that agree.
-const AGREED: usize = 2;
-/// In one of so many rounds, another failure domain is told as well: of a domain with ten instances,
-/// each rumor then leaves it some ten times.
-const TOLD_FAR: u64 = 4;
-/// Members in one message, so that it stays under 2 KB.
-const MOST_IN_MESSAGE: usize = 16;
-/// Members that were not known, below which a comparison was hardly worth its bytes.
-const FEW_UNKNOWN: usize = 8;
-/// The pause after such a comparison, for each member: the more there are, the more often one of them has
-/// just changed, which rumors tell.
-const COMPARE_PAUSE_MS: u64 = 1;
-/// Members that are told at once to one that is new, or that knows others than we do.
-const MOST_TOLD: usize = 4 * MOST_IN_MESSAGE;
-
-/// The members, as one instance knows them.
+/// Number of observers that must suspect the same member before the shorter suspicion timeout
+/// applies.
+const AGREEING_OBSERVERS: usize = 2;
+/// Gossip also goes to another failure domain in one round out of this many. In a domain of ten
+/// instances, each rumor is then sent out of the domain about ten times.
+const REMOTE_GOSSIP_EVERY_ROUNDS: u64 = 4;
+/// Maximum number of members in one message, which keeps it below 2 KB.
+const MAX_MEMBERS_PER_MESSAGE: usize = 16;
+/// A comparison that brings fewer unknown members than this is hardly worth its bytes and delays the
+/// next one.
+const MIN_UNKNOWN_PER_COMPARISON: usize = 8;
+/// Delay after such a comparison, in milliseconds per member. The more members there are, the more
+/// often one of them has just changed, and gossip spreads that change anyway.
+const COMPARE_PAUSE_MS_PER_MEMBER: u64 = 1;
+/// Maximum number of members sent in reply to the checksums of another instance.
+const MAX_MEMBERS_PER_REPLY: usize = 4 * MAX_MEMBERS_PER_MESSAGE;
+
+/// The members as one instance knows them.
 #[derive(Debug)]
 pub struct Membership {
-    card: Card,
+    descriptor: InstanceDescriptor,
     versions: Versions,
     members: BTreeMap<Arc<str>, Member>,
-    /// Addresses to ask while nobody is known.
-    contacts: BTreeSet<SocketAddr>,
+    /// Addresses to ping while no member is known.
+    bootstrap_addrs: BTreeSet<SocketAddr>,
     observed: BTreeMap<Arc<str>, probing::Observation>,
-    /// Another member that was pinged in this round, a different one each time.
-    sampled: Option<Arc<str>>,
-    /// Pings for others: the number that was sent, who asked, and with which number.
-    relayed: BTreeMap<u64, (SocketAddr, u64)>,
-    rumors: Rumors,
-    number: u64,
-    ticked_ms: Option<u64>,
-    heard_ms: u64,
-    out: Vec<(SocketAddr, Message)>,
-    changed: Vec<Arc<str>>,
-    /// The sum over what is known, until that changes.
-    known_sum: Option<u64>,
-    /// From when on what is known is compared with others again.
-    compare_from_ms: u64,
+    /// The member that was pinged in this round beside the observed ones; drawn at random each round.
+    random_member: Option<Arc<str>>,
+    /// Pings sent for other instances: the number of the ping, the address that asked for it, and the
+    /// number that this address used.
+    relayed_pings: BTreeMap<u64, (SocketAddr, u64)>,
+    rumors: RumorQueue,
+    last_ping_number: u64,
+    last_tick_ms: Option<u64>,
+    last_received_ms: u64,
+    outbox: Vec<(SocketAddr, Message)>,
+    changed_ids: Vec<Arc<str>>,
+    /// Cached checksum over the known members; `None` after a change.
+    checksum: Option<u64>,
+    /// Earliest time of the next comparison with another member.
+    next_comparison_ms: u64,
 }
 
 impl Membership {
-    /// An instance that knows only where to ask. `version` should grow from start to start; one that
-    /// doesn't is raised when the instance hears of its former self.
+    /// Creates the membership of an instance that knows only bootstrap addresses. `version` should
+    /// grow from start to start. If it does not, it is raised when the instance receives a rumor
+    /// about its previous incarnation.
     pub fn new(
         registration: Registration,
         link_mbps: u32,
-        contacts: &[SocketAddr],
+        bootstrap_addrs: &[SocketAddr],
         version: u64,
     ) -> Membership {
         let me = registration.peer_addr;
-        let card = Card {
+        let descriptor = InstanceDescriptor {
             registration,
             version,
             phase: Phase::Starting,
-            is_first_hand: false,
+            is_watching_directory: false,
             link_mbps,
             share: Share::ALL,
         };
         Membership {
-            card,
+            descriptor,
             versions: Versions::default(),
             members: BTreeMap::new(),
-            contacts: contacts.iter().copied().filter(|addr| *addr != me).collect(),
+            bootstrap_addrs: bootstrap_addrs.iter().copied().filter(|addr| *addr != me).collect(),
             observed: BTreeMap::new(),
-            sampled: None,
-            relayed: BTreeMap::new(),
-            rumors: Rumors::default(),
-            number: 0,
-            ticked_ms: None,
-            heard_ms: 0,
-            out: Vec::new(),
-            changed: Vec::new(),
-            known_sum: None,
-            compare_from_ms: 0,
+            random_member: None,
+            relayed_pings: BTreeMap::new(),
+            rumors: RumorQueue::default(),
+            last_ping_number: 0,
+            last_tick_ms: None,
+            last_received_ms: 0,
+            outbox: Vec::new(),
+            changed_ids: Vec::new(),
+            checksum: None,
+            next_comparison_ms: 0,
         }
     }
 
-    /// This instance.
+    /// This instance's registration.
     pub fn me(&self) -> &Registration {
-        &self.card.registration
+        &self.descriptor.registration
     }
 
-    /// The messages to be sent now.
+    /// Takes the messages to be sent now.
     pub fn take_messages(&mut self) -> Vec<(SocketAddr, Message)> {
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.outbox)
     }
 
-    /// The members that came, went or changed since this was last asked.
+    /// Takes the ids of the members that joined, left or changed since the last call.
     pub fn take_changed(&mut self) -> Vec<Arc<str>> {
-        std::mem::take(&mut self.changed)
+        std::mem::take(&mut self.changed_ids)
     }
 
-    /// Members that are not known to be gone.
+    /// Members that are not declared dead.
     pub fn alive(&self) -> impl Iterator<Item = &Member> {
         self.members.values().filter(|member| member.is_alive())
     }
 
-    /// How many members fell silent since a time; those that ended by a planned stop had said so.
-    pub fn silent_since(&self, since_ms: u64) -> usize {
-        let is_silent = |member: &&Member| {
+    /// Number of members that were declared dead since a time, without those that had announced a
+    /// planned stop.
+    pub fn unplanned_deaths_since(&self, since_ms: u64) -> usize {
+        let is_unplanned = |member: &&Member| {
             !member.is_alive()
-                && member.since_ms >= since_ms
-                && member.card.phase != Phase::Stopping
+                && member.state_since_ms >= since_ms
+                && member.descriptor.phase != Phase::Stopping
         };
-        self.members.values().filter(is_silent).count()
+        self.members.values().filter(is_unplanned).count()
     }
 
-    /// A member, living or dead.
+    /// A member, alive or dead.
     pub fn get(&self, id: &str) -> Option<&Member> {
         self.members.get(id)
     }
 
-    /// Changes what this instance says of itself; all hear of it.
-    pub fn set_me(&mut self, phase: Phase, is_first_hand: bool, share: Share, versions: Versions) {
+    /// Updates what this instance publishes about itself, and announces it to all others if it
+    /// changed. A change of `versions` alone is sent only with the next pings.
+    pub fn update_self(
+        &mut self,
+        phase: Phase,
+        is_watching_directory: bool,
+        share: Share,
+        versions: Versions,
+    ) {
         self.versions = versions;
-        let card = Card { phase, is_first_hand, share, ..self.card.clone() };
-        if self.card != card {
-            self.card = card;
+        let descriptor =
+            InstanceDescriptor { phase, is_watching_directory, share, ..self.descriptor.clone() };
+        if self.descriptor != descriptor {
+            self.descriptor = descriptor;
             self.announce();
         }
     }
 
-    /// What this instance says of itself.
-    pub fn my_card(&self) -> &Card {
-        &self.card
+    /// What this instance publishes about itself.
+    pub fn own_descriptor(&self) -> &InstanceDescriptor {
+        &self.descriptor
     }
 
-    /// This instance's place in the order of the fleet.
-    pub fn my_rank(&self) -> Rank {
-        self.card.rank()
+    /// This instance's rank in the fleet.
+    pub fn own_rank(&self) -> Rank {
+        self.descriptor.rank()
     }
 
-    /// How many living members come before this instance in that order.
-    pub fn before_me(&self) -> usize {
-        let me = self.my_rank();
-        self.alive().filter(|member| member.card.rank() < me).count()
+    /// Number of living members that rank before this instance.
+    pub fn ranked_before_self(&self) -> usize {
+        let me = self.own_rank();
+        self.alive().filter(|member| member.descriptor.rank() < me).count()
     }
 
-    /// The living members that hold all upstreams, as far as their rank says.
-    pub fn keepers(&self) -> Vec<&Member> {
-        watchers::keepers(self.alive().map(|member| (member.card.rank(), member)))
+    /// The living members that hold the whole list of upstreams, judged by their rank.
+    pub fn full_list_holders(&self) -> Vec<&Member> {
+        watchers::full_holders(self.alive().map(|member| (member.descriptor.rank(), member)))
     }
 
-    /// The newest version of the configuration that any member told.
-    pub fn newest_config(&self) -> u64 {
+    /// The newest configuration version that any member has reported.
+    pub fn newest_config_version(&self) -> u64 {
         self.members.values().map(|member| member.versions.config).max().unwrap_or(0)
     }
 
-    /// Tells some others that this instance ends now.
+    /// Sends the rumor that this instance is dead to a few members, because it shuts down now.
     pub fn leave(&mut self, random: &mut dyn Random) {
-        let card = self.card.clone();
-        let by = Arc::clone(&card.registration.id);
-        let rumor = Rumor::Member { card, standing: Standing::Dead, by };
-        for addr in self.some(2 * FANOUT, random) {
-            self.out.push((addr, Message::Rumors(vec![rumor.clone()])));
+        let descriptor = self.descriptor.clone();
+        let reporter = Arc::clone(&descriptor.registration.id);
+        let rumor = Rumor::Member { descriptor, state: MemberState::Dead, reporter };
+        for addr in self.random_alive_addrs(2 * GOSSIP_FANOUT, random) {
+            self.outbox.push((addr, Message::Rumors(vec![rumor.clone()])));
         }
     }
 
-    /// Notes where another instance may be reached, as the directory lists it.
-    pub fn contact(&mut self, registration: &Registration) {
+    /// Adds the address of an instance that the directory lists, if the instance is not a member yet.
+    pub fn add_bootstrap_addr(&mut self, registration: &Registration) {
         if registration.id != self.me().id && !self.members.contains_key(&registration.id) {
-            self.contacts.insert(registration.peer_addr);
+            self.bootstrap_addrs.insert(registration.peer_addr);
         }
     }
 
-    /// Starts a rumor.
-    pub fn tell(&mut self, rumor: Rumor) {
+    /// Starts to spread a rumor.
+    pub fn spread(&mut self, rumor: Rumor) {
         let instances = self.members.len() + 1;
         self.rumors.add(rumor, instances);
     }
 
-    /// Whether there is anything to gossip about.
+    /// Whether there are rumors to send.
     pub fn has_rumors(&self) -> bool {
         !self.rumors.is_empty()
     }
 
-    /// Tells a few others what is new: mostly in its own failure domain, since bytes between them are
-    /// paid for, and enough of its instances also tell another one.
+    /// Sends the next round of rumors to a few members. Most are in the same failure domain, because
+    /// traffic between domains is billed; enough instances of a domain also send to another one.
     pub fn gossip(&mut self, random: &mut dyn Random) {
-        let addrs = self.listeners(random);
+        let addrs = self.gossip_targets(random);
         if addrs.is_empty() || self.rumors.is_empty() {
             return;
         }
-        let message = Message::Rumors(self.rumors.round());
-        self.out.extend(addrs.into_iter().map(|addr| (addr, message.clone())));
-    }
-
-    /// Takes in a rumor about a member. Returns whether it was new.
-    pub fn hear_of(&mut self, card: Card, standing: Standing, by: Arc<str>, now_ms: u64) -> bool {
-        let rumor = Rumor::Member { card, standing, by };
-        let known = self.take_in(&rumor, now_ms);
-        match known {
-            News::Known => self.rumors.heard(&rumor),
-            News::Old => {}
-            News::Arrival => self.rumors.add_arrival(rumor, self.members.len() + 1),
-            News::Urgent => self.tell(rumor),
+        let message = Message::Rumors(self.rumors.next_round());
+        self.outbox.extend(addrs.into_iter().map(|addr| (addr, message.clone())));
+    }
+
+    /// Merges a rumor about a member. Returns whether it was new.
+    pub fn merge_member(
+        &mut self,
+        descriptor: InstanceDescriptor,
+        state: MemberState,
+        reporter: Arc<str>,
+        now_ms: u64,
+    ) -> bool {
+        let rumor = Rumor::Member { descriptor, state, reporter };
+        let kind = self.merge(&rumor, now_ms);
+        match kind {
+            UpdateKind::Duplicate => self.rumors.note_duplicate(&rumor),
+            UpdateKind::Outdated => {}
+            UpdateKind::Arrival => self.rumors.add_arrival(rumor, self.members.len() + 1),
+            UpdateKind::Urgent => self.spread(rumor),
         }
-        matches!(known, News::Arrival | News::Urgent)
+        matches!(kind, UpdateKind::Arrival | UpdateKind::Urgent)
     }
 
-    /// Takes in members that another one knows already, so that they are news to few: of those, only
-    /// what is urgent is told on.
-    pub fn hear_members(&mut self, members: Vec<Rumor>, now_ms: u64) {
+    /// Merges members that another instance already knows. Few others lack them, so only urgent
+    /// updates are gossiped further.
+    pub fn merge_members(&mut self, members: Vec<Rumor>, now_ms: u64) {
         let mut unknown = 0;
         for rumor in members {
-            let news = self.take_in(&rumor, now_ms);
-            unknown += usize::from(matches!(news, News::Arrival | News::Urgent));
-            if news == News::Urgent {
-                self.tell(rumor);
+            let kind = self.merge(&rumor, now_ms);
+            unknown += usize::from(matches!(kind, UpdateKind::Arrival | UpdateKind::Urgent));
+            if kind == UpdateKind::Urgent {
+                self.spread(rumor);
             }
         }
-        // What little differs is mostly on its way as rumors.
-        let pause_ms = COMPARE_PAUSE_MS * self.members.len() as u64;
-        self.compare_from_ms = if unknown < FEW_UNKNOWN { now_ms + pause_ms } else { now_ms };
+        // Small differences are mostly rumors that are still spreading.
+        let pause_ms = COMPARE_PAUSE_MS_PER_MEMBER * self.members.len() as u64;
+        self.next_comparison_ms =
+            if unknown < MIN_UNKNOWN_PER_COMPARISON { now_ms + pause_ms } else { now_ms };
     }
 
-    fn take_in(&mut self, rumor: &Rumor, now_ms: u64) -> News {
-        let Rumor::Member { card, standing, by } = rumor else { return News::Old };
-        let standing = *standing;
-        if card.registration.id == self.me().id {
-            self.hear_of_me(card, standing);
-            return News::Old;
+    fn merge(&mut self, rumor: &Rumor, now_ms: u64) -> UpdateKind {
+        let Rumor::Member { descriptor, state, reporter } = rumor else {
+            return UpdateKind::Outdated;
+        };
+        let state = *state;
+        if descriptor.registration.id == self.me().id {
+            self.refute(descriptor, state);
+            return UpdateKind::Outdated;
         }
-        let known = self.members.get_mut(&card.registration.id);
+        let known = self.members.get_mut(&descriptor.registration.id);
         let Some(member) = known else {
-            // Who is dead before it was known is remembered, so that old news don't bring it back.
-            self.add(card, standing, by, now_ms);
-            return News::of(Standing::Alive, card, standing);
+            // An instance that is already dead when first mentioned is remembered, so that an older
+            // rumor does not bring it back.
+            self.add(descriptor, state, reporter, now_ms);
+            return UpdateKind::of(MemberState::Alive, descriptor, state);
         };
-        let before = member.standing;
-        let is_newer = (card.version, standing) > (member.card.version, before);
-        let suspects = standing == Standing::Suspect && card.version == member.card.version;
-        let is_agreement =
-            suspects && before == Standing::Suspect && member.suspected_by.insert(Arc::clone(by));
+        let before = member.state;
+        let is_newer = (descriptor.version, state) > (member.descriptor.version, before);
+        let suspects =
+            state == MemberState::Suspect && descriptor.version == member.descriptor.version;
+        let is_agreement = suspects
+            && before == MemberState::Suspect
+            && member.suspected_by.insert(Arc::clone(reporter));
         if !is_newer {
-            if is_agreement && member.suspected_by.len() == AGREED {
-                return News::Urgent;
+            if is_agreement && member.suspected_by.len() == AGREEING_OBSERVERS {
+                return UpdateKind::Urgent;
             }
-            let is_same = (card.version, standing) == (member.card.version, before);
-            return if is_same { News::Known } else { News::Old };
+            let is_same = (descriptor.version, state) == (member.descriptor.version, before);
+            return if is_same { UpdateKind::Duplicate } else { UpdateKind::Outdated };
         }
-        if card.version > member.card.version {
+        if descriptor.version > member.descriptor.version {
             member.suspected_by.clear();
         }
-        if standing == Standing::Suspect {
-            member.suspected_by.insert(Arc::clone(by));
+        if state == MemberState::Suspect {
+            member.suspected_by.insert(Arc::clone(reporter));
         }
-        if standing != before {
-            member.since_ms = now_ms;
+        if state != before {
+            member.state_since_ms = now_ms;
         }
-        member.card = card.clone();
-        member.standing = standing;
-        self.note_changed(&card.registration.id);
-        News::of(before, card, standing)
+        member.descriptor = descriptor.clone();
+        member.state = state;
+        self.mark_changed(&descriptor.registration.id);
+        UpdateKind::of(before, descriptor, state)
     }
 
-    fn add(&mut self, card: &Card, standing: Standing, by: &Arc<str>, now_ms: u64) {
-        let id = Arc::clone(&card.registration.id);
-        let suspects = standing == Standing::Suspect;
+    fn add(
+        &mut self,
+        descriptor: &InstanceDescriptor,
+        state: MemberState,
+        reporter: &Arc<str>,
+        now_ms: u64,
+    ) {
+        let id = Arc::clone(&descriptor.registration.id);
+        let suspects = state == MemberState::Suspect;
         let member = Member {
-            card: card.clone(),
+            descriptor: descriptor.clone(),
             versions: Versions::default(),
-            standing,
-            since_ms: now_ms,
-            suspected_by: suspects.then(|| Arc::clone(by)).into_iter().collect(),
+            state,
+            state_since_ms: now_ms,
+            suspected_by: suspects.then(|| Arc::clone(reporter)).into_iter().collect(),
         };
         self.members.insert(Arc::clone(&id), member);
-        self.note_changed(&id);
+        self.mark_changed(&id);
     }
 
-    /// Refutes what others think of this instance, or of a former one under its name.
-    fn hear_of_me(&mut self, card: &Card, standing: Standing) {
-        let is_other_life = card.registration.incarnation != self.me().incarnation;
-        let is_wrong = standing != Standing::Alive || is_other_life;
-        if is_wrong && card.version >= self.card.version {
-            self.card.version = card.version;
+    /// Refutes a rumor that this instance is suspect or dead, or that comes from a previous
+    /// incarnation under its id.
+    fn refute(&mut self, descriptor: &InstanceDescriptor, state: MemberState) {
+        let is_other_incarnation = descriptor.registration.incarnation != self.me().incarnation;
+        let is_wrong = state != MemberState::Alive || is_other_incarnation;
+        if is_wrong && descriptor.version >= self.descriptor.version {
+            self.descriptor.version = descriptor.version;
             self.announce();
         }
     }
 
-    /// Takes in what a probe's sender says of itself and of others.
-    fn hear(&mut self, probe: Probe, now_ms: u64) {
-        self.heard_ms = now_ms;
-        let id = Arc::clone(&probe.card.registration.id);
+    /// Merges what the sender of a probe reports about itself and others.
+    fn handle_probe(&mut self, probe: Probe, now_ms: u64) {
+        self.last_received_ms = now_ms;
+        let id = Arc::clone(&probe.descriptor.registration.id);
         if id == self.me().id {
             return;
         }
-        self.hear_of(probe.card, Standing::Alive, Arc::clone(&id), now_ms);
+        self.merge_member(probe.descriptor, MemberState::Alive, Arc::clone(&id), now_ms);
         if let Some(member) = self.members.get_mut(&id) {
             member.versions = probe.versions;
         }
         for rumor in probe.rumors {
-            self.hear_rumor(rumor, now_ms);
+            self.merge_rumor(rumor, now_ms);
         }
     }
 
-    /// Takes in a rumor about a member; others are the business of whoever they concern.
-    fn hear_rumor(&mut self, rumor: Rumor, now_ms: u64) {
-        if let Rumor::Member { card, standing, by } = rumor {
-            self.hear_of(card, standing, by, now_ms);
+    /// Merges a rumor about a member and ignores all other rumors, which don't concern the
+    /// membership.
+    fn merge_rumor(&mut self, rumor: Rumor, now_ms: u64) {
+        if let Rumor::Member { descriptor, state, reporter } = rumor {
+            self.merge_member(descriptor, state, reporter, now_ms);
         }
     }
 
-    /// Notes what a member knows, as it told beside its pings.
-    pub fn note_versions(&mut self, id: &str, versions: Versions) {
+    /// Records the versions that a member reported in a message other than a ping.
+    pub fn set_versions(&mut self, id: &str, versions: Versions) {
         if let Some(member) = self.members.get_mut(id) {
             member.versions = versions;
         }
     }
 
-    /// Notes that any message came, so that this instance is not cut off.
-    pub fn note_heard(&mut self, now_ms: u64) {
-        self.heard_ms = now_ms;
+    /// Records that a message arrived, so that this instance does not take itself for isolated.
+    pub fn note_received(&mut self, now_ms: u64) {
+        self.last_received_ms = now_ms;
     }
 
-    fn note_changed(&mut self, id: &Arc<str>) {
-        self.changed.push(Arc::clone(id));
-        self.known_sum = None;
+    fn mark_changed(&mut self, id: &Arc<str>) {
+        self.changed_ids.push(Arc::clone(id));
+        self.checksum = None;
     }
 
-    /// Raises the version of what this instance says of itself, and has all hear of it.
+    /// Raises the version of this instance's own descriptor and gossips it to all.
     fn announce(&mut self) {
-        self.card.version += 1;
-        self.known_sum = None;
-        let by = nobody();
-        self.tell(Rumor::Member { card: self.card.clone(), standing: Standing::Alive, by });
+        self.descriptor.version += 1;
+        self.checksum = None;
+        let reporter = no_reporter();
+        self.spread(Rumor::Member {
+            descriptor: self.descriptor.clone(),
+            state: MemberState::Alive,
+            reporter,
+        });
     }
 
-    fn rumor_of(&self, member: &Member) -> Rumor {
+    fn rumor_about(&self, member: &Member) -> Rumor {
         Rumor::Member {
-            card: member.card.clone(),
-            standing: member.standing,
-            by: match member.standing {
-                Standing::Suspect => Arc::clone(&self.me().id),
-                Standing::Alive | Standing::Dead => nobody(),
+            descriptor: member.descriptor.clone(),
+            state: member.state,
+            reporter: match member.state {
+                MemberState::Suspect => Arc::clone(&self.me().id),
+                MemberState::Alive | MemberState::Dead => no_reporter(),
             },
         }
     }
 
-    /// The same for two instances that know the same of the same members, themselves included.
-    fn known_sum(&mut self) -> u64 {
-        let sum = self.known_sum.unwrap_or_else(|| self.sum_up());
-        self.known_sum = Some(sum);
+    /// Checksum over the known living members and this instance: equal at two instances that know the
+    /// same versions of the same instances.
+    fn checksum(&mut self) -> u64 {
+        let sum = self.checksum.unwrap_or_else(|| self.compute_checksum());
+        self.checksum = Some(sum);
         sum
     }
 
-    fn sum_up(&self) -> u64 {
-        self.cards().fold(0, |sum, card| {
-            sum ^ xxh3_64_with_seed(card.registration.id.as_bytes(), card.version)
+    fn compute_checksum(&self) -> u64 {
+        self.descriptors().fold(0, |sum, descriptor| {
+            sum ^ xxh3_64_with_seed(descriptor.registration.id.as_bytes(), descriptor.version)
         })
     }
 
-    /// The cards of all that live, this instance's own included.
-    fn cards(&self) -> impl Iterator<Item = &Card> {
-        self.alive().map(|member| &member.card).chain([&self.card])
+    /// The descriptors of all living members and of this instance.
+    fn descriptors(&self) -> impl Iterator<Item = &InstanceDescriptor> {
+        self.alive().map(|member| &member.descriptor).chain([&self.descriptor])
     }
 
-    /// Compares with another instance what is known.
-    fn compare(&mut self, to: SocketAddr, now_ms: u64) {
-        if now_ms < self.compare_from_ms {
+    /// Starts a comparison of the member tables with another instance.
+    fn start_comparison(&mut self, to: SocketAddr, now_ms: u64) {
+        if now_ms < self.next_comparison_ms {
             return;
         }
-        let sums = Sums::over(self.cards(), Sums::parts_for(self.members.len()));
-        self.out.push((to, Message::Sums(sums, false)));
+        let checksums = BucketChecksums::of(
+            self.descriptors(),
+            BucketChecksums::bucket_count_for(self.members.len()),
+        );
+        self.outbox.push((to, Message::Checksums(checksums, false)));
     }
 
-    /// Tells what another one lacks, or knows otherwise, as its sums say; unless they are an answer, it
-    /// gets this instance's own.
-    pub fn hear_sums(
+    /// Sends the members that another instance lacks or knows in another version, as its checksums
+    /// show. Unless those are a reply themselves, also replies with this instance's own checksums.
+    pub fn handle_checksums(
         &mut self,
-        sums: &Sums,
+        checksums: &BucketChecksums,
         is_answer: bool,
         from: SocketAddr,
         random: &mut dyn Random,
     ) {
-        let own = Sums::over(self.cards(), sums.parts());
-        if own.parts() != sums.parts() {
+        let own = BucketChecksums::of(self.descriptors(), checksums.bucket_count());
+        if own.bucket_count() != checksums.bucket_count() {
             return;
         }
         let members: Vec<Rumor> = self
-            .members_in_turn(random)
-            .filter(|member| own.differ_at(sums, &member.card.registration.id))
-            .map(|member| self.rumor_of(member))
-            .take(MOST_TOLD)
+            .members_from_random(random)
+            .filter(|member| own.differ_in_bucket_of(checksums, &member.descriptor.registration.id))
+            .map(|member| self.rumor_about(member))
+            .take(MAX_MEMBERS_PER_REPLY)
             .collect();
-        self.tell_members(members, from);
+        self.send_members(members, from);
         if !is_answer {
-            self.out.push((from, Message::Sums(own, true)));
+            self.outbox.push((from, Message::Checksums(own, true)));
         }
     }
 
-    /// Tells some members to one that is new; it finds the others by comparing.
-    fn introduce(&mut self, to: SocketAddr, random: &mut dyn Random) {
-        let alive = self.members_in_turn(random).filter(|member| member.is_alive());
-        let members = alive.map(|member| self.rumor_of(member)).take(MOST_IN_MESSAGE).collect();
-        self.tell_members(members, to);
+    /// Sends some members to a new instance; it gets the others by comparing.
+    fn send_some_members(&mut self, to: SocketAddr, random: &mut dyn Random) {
+        let alive = self.members_from_random(random).filter(|member| member.is_alive());
+        let members =
+            alive.map(|member| self.rumor_about(member)).take(MAX_MEMBERS_PER_MESSAGE).collect();
+        self.send_members(members, to);
     }
 
-    fn tell_members(&mut self, members: Vec<Rumor>, to: SocketAddr) {
-        for part in members.chunks(MOST_IN_MESSAGE) {
-            self.out.push((to, Message::Members(part.to_vec())));
+    fn send_members(&mut self, members: Vec<Rumor>, to: SocketAddr) {
+        for chunk in members.chunks(MAX_MEMBERS_PER_MESSAGE) {
+            self.outbox.push((to, Message::Members(chunk.to_vec())));
         }
     }
 
-    /// All members in the order of their ids, from a different one on each time.
-    fn members_in_turn(&self, random: &mut dyn Random) -> impl Iterator<Item = &Member> {
+    /// All members in the order of their ids, starting from a random one.
+    fn members_from_random(&self, random: &mut dyn Random) -> impl Iterator<Item = &Member> {
         let count = self.members.len();
         let start = random.below(count.max(1) as u64) as usize;
         self.members.values().cycle().skip(start).take(count)
     }
 
-    /// Who is told in one round.
-    fn listeners(&self, random: &mut dyn Random) -> Vec<SocketAddr> {
+    /// The addresses that one gossip round goes to.
+    fn gossip_targets(&self, random: &mut dyn Random) -> Vec<SocketAddr> {
         let (mut near, mut far): (Vec<&Registration>, Vec<&Registration>) = self
             .alive()
-            .map(|member| &member.card.registration)
+            .map(|member| &member.descriptor.registration)
             .partition(|other| other.domain == self.me().domain);
-        pick(&mut near, FANOUT, random);
-        let tells_far = near.len() < FANOUT || random.below(TOLD_FAR) == 0;
-        pick(&mut far, usize::from(tells_far), random);
+        keep_random(&mut near, GOSSIP_FANOUT, random);
+        let is_remote_round =
+            near.len() < GOSSIP_FANOUT || random.below(REMOTE_GOSSIP_EVERY_ROUNDS) == 0;
+        keep_random(&mut far, usize::from(is_remote_round), random);
         near.into_iter().chain(far).map(|other| other.peer_addr).collect()
     }
 
-    /// The addresses of a few living members, without order.
-    fn some(&self, most: usize, random: &mut dyn Random) -> Vec<SocketAddr> {
+    /// The addresses of up to `limit` living members, drawn at random.
+    fn random_alive_addrs(&self, limit: usize, random: &mut dyn Random) -> Vec<SocketAddr> {
         let mut addrs: Vec<SocketAddr> =
-            self.alive().map(|member| member.card.registration.peer_addr).collect();
-        pick(&mut addrs, most, random);
+            self.alive().map(|member| member.descriptor.registration.peer_addr).collect();
+        keep_random(&mut addrs, limit, random);
         addrs
     }
 }
 
-/// What a rumor about a member is to the one that hears it.
+/// What a rumor about a member is to its receiver.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum News {
-    /// Something older than what is known.
-    Old,
-    /// What is known.
-    Known,
-    /// That an instance lives, as most do.
+enum UpdateKind {
+    /// Older than what is known.
+    Outdated,
+    /// The same as what is known.
+    Duplicate,
+    /// An instance is alive that was alive before or was unknown; most updates are of this kind.
     Arrival,
-    /// Anything else.
+    /// Any other change: a suspicion, its second observer, a death, a refutation or a planned stop.
     Urgent,
 }
 
-impl News {
-    /// What a card is that is newer than what was known, which stood so before.
-    fn of(before: Standing, card: &Card, standing: Standing) -> News {
-        let is_alive = before == Standing::Alive && standing == Standing::Alive;
-        if is_alive && card.phase != Phase::Stopping { News::Arrival } else { News::Urgent }
+impl UpdateKind {
+    /// Classifies a descriptor newer than the known one, given the state until now.
+    fn of(before: MemberState, descriptor: &InstanceDescriptor, state: MemberState) -> UpdateKind {
+        let is_alive = before == MemberState::Alive && state == MemberState::Alive;
+        if is_alive && descriptor.phase != Phase::Stopping {
+            UpdateKind::Arrival
+        } else {
+            UpdateKind::Urgent
+        }
     }
 }
 
-/// Who says that an instance lives or is dead doesn't matter, and its name would be a fifth of the message.
-fn nobody() -> Arc<str> {
+/// Stands for the reporter of a rumor where it does not matter, which is always except for a
+/// suspicion; an id would take a fifth of the message.
+fn no_reporter() -> Arc<str> {
     Arc::from("")
 }
 
-/// Leaves a few of all, drawn without order.
-fn pick<T>(all: &mut Vec<T>, most: usize, random: &mut dyn Random) {
-    for index in 0..most.min(all.len()) {
+/// Keeps up to `limit` of all elements, drawn at random.
+fn keep_random<T>(all: &mut Vec<T>, limit: usize, random: &mut dyn Random) {
+    for index in 0..limit.min(all.len()) {
         let other = index + random.below((all.len() - index) as u64) as usize;
         all.swap(index, other);
     }
-    all.truncate(most);
+    all.truncate(limit);
 }
--- a/src/gateway/open.rs
+++ b/src/gateway/open.rs
@@ -1,4 +1,6 @@
-//! What is open: callers' connections, and requests until the whole answer was taken for writing.
+//! Counts callers' open connections and open requests.
+//!
+//! A request is open until its whole answer has been handed to hyper for writing.
 
 use std::pin::Pin;
 use std::rc::Rc;
@@ -8,15 +10,15 @@
 use bytes::Bytes;
 use hyper::body::{Body, Frame, SizeHint};
 
-use super::answer::{AnswerBody, Cut};
+use super::answer::{AnswerBody, Truncated};
 use super::caller::Progress;
 use super::traffic::Traffic;
 
-/// Counts a caller's connection for as long as it lives.
+/// Counts a caller's connection as open until it is dropped.
 pub struct ConnectionGuard(Rc<Traffic>);
 
 impl ConnectionGuard {
-    /// Counts one more.
+    /// Counts a connection as open.
     pub fn new(traffic: &Rc<Traffic>) -> ConnectionGuard {
         traffic.connections.set(traffic.connections.get() + 1);
         ConnectionGuard(Rc::clone(traffic))
@@ -29,26 +31,26 @@
     }
 }
 
-/// Counts a request as open for as long as it lives, and logs one that ends without a whole answer.
-pub struct OpenGuard {
+/// Counts a request as open until it is dropped, and logs it if it ends without a whole answer.
+pub struct OpenRequestGuard {
     traffic: Rc<Traffic>,
     id: Option<Arc<str>>,
-    /// Which request of its connection it is, from one on.
+    /// The number of the request on its connection, from 1.
     number: u32,
     since_ms: u64,
     is_answered: bool,
 }
 
-impl OpenGuard {
-    /// Counts one more.
-    pub fn new(traffic: &Rc<Traffic>, id: Option<Arc<str>>, number: u32) -> OpenGuard {
+impl OpenRequestGuard {
+    /// Counts a request as open.
+    pub fn new(traffic: &Rc<Traffic>, id: Option<Arc<str>>, number: u32) -> OpenRequestGuard {
         traffic.open_requests.set(traffic.open_requests.get() + 1);
         let since_ms = traffic.now_ms();
-        OpenGuard { traffic: Rc::clone(traffic), id, number, since_ms, is_answered: false }
+        OpenRequestGuard { traffic: Rc::clone(traffic), id, number, since_ms, is_answered: false }
     }
 }
 
-impl Drop for OpenGuard {
+impl Drop for OpenRequestGuard {
     fn drop(&mut self) {
         let traffic = &self.traffic;
         traffic.open_requests.set(traffic.open_requests.get() - 1);
@@ -57,37 +59,41 @@
         }
         let is_stopping = traffic.stop.get().is_some();
         traffic.metrics.count(if is_stopping { "unanswered_stopping" } else { "unanswered" });
-        slog::info!(traffic.log, "unanswered: its caller left, or this instance ended";
+        slog::info!(traffic.log, "request not fully answered: caller disconnected or instance ended";
             "request" => self.id.as_deref().unwrap_or("-"),
             "number_on_connection" => self.number,
             "ms" => traffic.now_ms() - self.since_ms, "is_stopping" => is_stopping);
     }
 }
 
-/// The body of an answer on its way to a caller; its request is open until it ends.
-pub struct Delivery {
+/// The body of an answer that is being written to a caller; keeps its request open until it ends.
+pub struct DeliveredBody {
     body: AnswerBody,
-    open: OpenGuard,
+    open: OpenRequestGuard,
     progress: Rc<Progress>,
 }
 
-impl Delivery {
-    /// Takes over a body and its request.
-    pub fn new(body: AnswerBody, mut open: OpenGuard, progress: Rc<Progress>) -> Delivery {
-        // A whole body is handed over with its head, and may never be polled.
+impl DeliveredBody {
+    /// Wraps a body and the guard of its request.
+    pub fn new(
+        body: AnswerBody,
+        mut open: OpenRequestGuard,
+        progress: Rc<Progress>,
+    ) -> DeliveredBody {
+        // hyper takes a whole body together with the head, and may never poll for its end.
         open.is_answered = matches!(body, AnswerBody::Whole(_));
-        Delivery { body, open, progress }
+        DeliveredBody { body, open, progress }
     }
 }
 
-impl Body for Delivery {
+impl Body for DeliveredBody {
     type Data = Bytes;
-    type Error = Cut;
+    type Error = Truncated;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, Truncated>>> {
         let frame = std::task::ready!(Pin::new(&mut self.body).poll_frame(context));
         if frame.is_none() {
             self.open.is_answered = true;
@@ -104,7 +110,7 @@
     }
 }
 
-impl Drop for Delivery {
+impl Drop for DeliveredBody {
     fn drop(&mut self) {
         self.progress.body_ended();
     }
--- a/src/gateway/policy/silence.rs
+++ b/src/gateway/policy/silence.rs
@@ -1,209 +1,212 @@
-//! How long an attempt of a stream may stay silent: a decision from what the engine says of the
-//! run itself.
+//! Decides whether a silent run stays at its engine, from the state that the engine reports.
 //!
-//! That an engine lives says nothing of one run there: its answer may have been lost on the way, or
-//! the run may have ended without a word. Its state names the runs that it works on, how much of
-//! each it has in memory and how many events it has made. So no time that was measured on one
-//! engine decides: a slow engine that still reads a prompt keeps the run, a quick one that has lost
-//! it does not.
+//! That an engine is alive does not mean that it still has the run: the answer may have been lost
+//! on the way, or the run may have ended without a message. The engine's state lists the runs that
+//! it works on, how many tokens of each are in memory, and how many events each has produced. The
+//! decision therefore does not depend on times measured on one engine: a slow engine that is still
+//! reading the prompt keeps the run, and a fast one that has lost it does not.
 
 use super::latency::Latencies;
 
-/// The pause that a route which declares none allows between events.
-const USUAL_GAP_MS: u64 = 700;
-/// Quiet for less than this says nothing: a message that was lost between domains and sent again
-/// at once, or a process that was late for its turn, takes as long.
-const LEAST_QUIET_MS: u64 = 50;
-/// The objective of a route that declares none.
-const USUAL_OBJECTIVE_MS: u64 = 4_500;
-
-/// How much longer than nearly all others a first event may take: the state of an engine doesn't
-/// tell whether a prompt that it holds is being read, so only the others tell.
-const OVERDUE: f64 = 2.0;
-/// How often the time is doubled at the most.
-const MOST_DOUBLINGS: u32 = 6;
-/// The part of first events that came sooner.
-const NEARLY_ALL: f64 = 0.95;
-
-/// After which time the first event of a prompt is overdue at the next engine, from the
-/// microseconds that a token of others took; before enough is known, after twice the objective.
+/// Allowed pause between events on a route that declares none.
+const DEFAULT_GAP_MS: u64 = 700;
+/// Minimum of the timeouts between events: a message that is lost between domains and sent again at
+/// once, or a process that is scheduled late, takes as long.
+const MIN_GAP_TIMEOUT_MS: u64 = 50;
+/// Objective for the first event on a route that declares none.
+const DEFAULT_OBJECTIVE_MS: u64 = 4_500;
+
+/// A first event is overdue after this multiple of the time that nearly all others took. An
+/// engine's state does not tell whether a prompt that it holds is being read, so only other
+/// requests give an estimate.
+const OVERDUE_FACTOR: f64 = 2.0;
+/// Upper bound on how often the time is doubled.
+const MAX_DOUBLINGS: u32 = 6;
+/// Percentile of the first events that the estimate is based on.
+const FIRST_EVENT_PERCENTILE: f64 = 0.95;
+
+/// Time after which the first event of a prompt is overdue at the next engine, from the
+/// microseconds per prompt token that other requests took. While too few are known, it is twice the
+/// objective.
 ///
-/// Each attempt before it doubles the time, so that a service that is slow for everybody gets a few
-/// repeats and no storm of them.
+/// Each earlier attempt doubles the time, so that a service that is slow for everybody causes a few
+/// repeats but no storm of them.
 pub fn overdue_ms(
     us_per_token: &Latencies,
     prompt_tokens: u64,
     objective_ms: u64,
     attempts: u32,
 ) -> u64 {
-    let objective_ms = if objective_ms == 0 { USUAL_OBJECTIVE_MS } else { objective_ms };
-    let usual_ms = match us_per_token.quantile(NEARLY_ALL) {
+    let objective_ms = if objective_ms == 0 { DEFAULT_OBJECTIVE_MS } else { objective_ms };
+    let typical_ms = match us_per_token.quantile(FIRST_EVENT_PERCENTILE) {
         Some(us) if prompt_tokens > 0 => us.saturating_mul(prompt_tokens) / 1_000,
         _ => objective_ms,
     };
-    let overdue_ms = (usual_ms as f64 * OVERDUE) as u64;
-    overdue_ms.saturating_mul(1 << attempts.min(MOST_DOUBLINGS))
+    let overdue_ms = (typical_ms as f64 * OVERDUE_FACTOR) as u64;
+    overdue_ms.saturating_mul(1 << attempts.min(MAX_DOUBLINGS))
 }
 
-/// How long a stream of a route may be quiet before something is done about it: parts of what the
-/// route declares, since the pause that callers allow holds on every machine.
+/// How long a stream may be silent before each reaction. The timeouts are fractions of what the
+/// route declares, since the pause that callers allow does not depend on the machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Patience {
-    /// Before its first event, until the engine is asked: a fifth of the objective, so that an
-    /// answer that was lost at once still comes in time from elsewhere; not before the engine's
-    /// state can know of the run.
-    pub first_ms: u64,
-    /// Between events, until the engine is asked: a fifth of the allowed pause. The question takes
-    /// another fifth, going on elsewhere up to two.
+pub struct SilenceTimeouts {
+    /// Before the first event, until the engine's state is requested: a fifth of the objective, so
+    /// that an answer that was lost at once can still come in time from elsewhere; but not before
+    /// the engine's state can include the run.
+    pub first_event_ms: u64,
+    /// Between events, until the engine's state is requested: a fifth of the allowed pause. The
+    /// request takes another fifth, and resuming elsewhere up to two.
     pub gap_ms: u64,
-    /// The same while prompts are known to be read there, between two chunks of which events come
-    /// further apart: two fifths.
+    /// The same while the engine is known to be reading prompts, when events arrive further apart,
+    /// between two chunks of a prompt: two fifths.
     pub reading_gap_ms: u64,
-    /// Until a run with a copy elsewhere goes on there, although its engine lives, reads nothing
-    /// and has the run: what is left of the allowed pause suffices to go on.
-    pub stuck_ms: u64,
-    /// The same while it reads prompts: it works, and its events come late from all engines alike.
-    /// The whole pause: leaving earlier, 120 runs were taken from engines that read half as fast as
-    /// the usual ones, and worth fell by a third.
-    pub stuck_reading_ms: u64,
+    /// Until a run with a copy elsewhere is resumed there, although its engine is alive, reads no
+    /// prompt and has the run: the rest of the allowed pause is enough to resume.
+    pub stalled_ms: u64,
+    /// The same while the engine is reading prompts: it makes progress, and events are late from
+    /// all engines alike. This is the whole pause: with a shorter one, 120 runs were taken from
+    /// engines that read half as fast as usual, and the benefit fell by a third.
+    pub stalled_reading_ms: u64,
 }
 
-impl Patience {
-    /// For a route that declares these; 0 is no declaration.
-    pub fn of(objective_ms: u64, gap_ms: u64) -> Patience {
-        let or_usual = |declared, usual| if declared == 0 { usual } else { declared };
-        let objective_ms = or_usual(objective_ms, USUAL_OBJECTIVE_MS);
-        let gap_ms = or_usual(gap_ms, USUAL_GAP_MS);
-        Patience {
-            first_ms: (objective_ms / 5).max(STATE_AGE_MS),
-            gap_ms: (gap_ms / 5).max(LEAST_QUIET_MS),
-            reading_gap_ms: (gap_ms * 2 / 5).max(LEAST_QUIET_MS),
-            stuck_ms: gap_ms * 2 / 3,
-            stuck_reading_ms: gap_ms,
+impl SilenceTimeouts {
+    /// Timeouts for a route that declares these values; 0 stands for none.
+    pub fn of(objective_ms: u64, gap_ms: u64) -> SilenceTimeouts {
+        let or_default = |declared, default| if declared == 0 { default } else { declared };
+        let objective_ms = or_default(objective_ms, DEFAULT_OBJECTIVE_MS);
+        let gap_ms = or_default(gap_ms, DEFAULT_GAP_MS);
+        SilenceTimeouts {
+            first_event_ms: (objective_ms / 5).max(MAX_STATE_AGE_MS),
+            gap_ms: (gap_ms / 5).max(MIN_GAP_TIMEOUT_MS),
+            reading_gap_ms: (gap_ms * 2 / 5).max(MIN_GAP_TIMEOUT_MS),
+            stalled_ms: gap_ms * 2 / 3,
+            stalled_reading_ms: gap_ms,
         }
     }
 }
 
-/// How old an engine's state may be: it is gathered now and then, a few times a second. A run that
-/// was sent or heard within this time before the question may be missing from it and be there.
-const STATE_AGE_MS: u64 = 500;
-/// Over which time a run that is worked on shows it: several states, each with a chunk of its
-/// prompt or an event more.
-const PROGRESS_MS: u64 = 1_500;
+/// Maximum age of an engine's state, which is collected a few times a second. A run that was sent,
+/// or produced an event, less than this before the state was requested may be missing from it and
+/// still exist.
+const MAX_STATE_AGE_MS: u64 = 500;
+/// Time in which a run that is worked on shows progress: several states, each with one more chunk
+/// of its prompt or one more event.
+const PROGRESS_TIMEOUT_MS: u64 = 1_500;
 
 /// What an engine's state says of one run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Sighting {
-    /// It doesn't name runs.
+pub enum RunStatus {
+    /// The state lists no runs.
     Untold,
-    /// It doesn't name the run, and it has requests that have not made an event yet, of which this
-    /// may be one: a run is named from its first event on.
+    /// The run is not listed, but some requests have produced no event yet, and this may be one of
+    /// them: a run is listed from its first event on.
     MayWait,
-    /// It doesn't name the run, and all that it works on have made events.
+    /// The run is not listed, and all requests of the engine have produced events.
     Missing,
-    /// It names the run.
+    /// The run is listed.
     Listed {
         /// Tokens that it has in memory.
         tokens: u64,
-        /// Events that it has made.
+        /// Events that it has produced.
         events: u64,
     },
 }
 
-/// Whether an engine has put a run out of its memory, which made its first event there so long ago:
-/// its state names all that run, and the run waits behind the prompts of others to be read anew.
-/// Where a copy lies elsewhere, going on there at once keeps the allowed pause.
-pub fn is_put_out(sighting: Sighting, since_first_ms: u64) -> bool {
-    since_first_ms >= STATE_AGE_MS && sighting == Sighting::MayWait
+/// Whether an engine has preempted a run that produced its first event there `since_first_ms` ago:
+/// the state lists all active runs but not this one, which waits behind other prompts to be read
+/// again. If there is a copy elsewhere, resuming there at once keeps the allowed pause.
+pub fn is_preempted(status: RunStatus, since_first_ms: u64) -> bool {
+    since_first_ms >= MAX_STATE_AGE_MS && status == RunStatus::MayWait
 }
 
 /// What to do about a silent run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// Wait, and ask again.
+    /// Wait, and request the state again later.
     Wait,
     /// Leave the engine.
-    Leave(Why),
+    Leave(LeaveReason),
 }
 
 /// Why a silent run leaves its engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, derive_more::Display)]
-pub enum Why {
-    /// The engine doesn't have it any more.
-    #[display("the engine lives and has no such run")]
+pub enum LeaveReason {
+    /// The engine no longer has the run.
+    #[display("the engine is alive but no longer has the run")]
     Gone,
-    /// It makes events that do not arrive.
-    #[display("the run makes events and none arrives")]
+    /// The run produces events that do not arrive.
+    #[display("the run produces events but none arrive")]
     AnswerLost,
-    /// It has waited for its first event for longer than nearly all do, on this day and here.
+    /// The first event has taken much longer than nearly all others of the service, as recently
+    /// measured by this instance.
     #[display("its first event is overdue")]
     Overdue,
-    /// It is named and nothing becomes of it.
-    #[display("the run is there and makes no progress")]
+    /// The run is listed but makes no progress.
+    #[display("the run makes no progress")]
     Standing,
 }
 
-/// What was seen of a run since something last came from it.
+/// What was observed of a run since it last sent something.
 #[derive(Debug, Clone, Copy)]
 pub struct Silence {
     since_ms: u64,
     overdue_ms: Option<u64>,
-    seen: Option<Seen>,
+    observed: Option<Observation>,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Seen {
+struct Observation {
     tokens: u64,
     events: u64,
     at_ms: u64,
 }
 
 impl Silence {
-    /// A run that was heard a moment ago.
+    /// A run that has just sent something.
     pub fn new(now_ms: u64) -> Silence {
-        Silence { since_ms: now_ms, overdue_ms: None, seen: None }
+        Silence { since_ms: now_ms, overdue_ms: None, observed: None }
     }
 
-    /// A run that was sent a moment ago, and whose first event is overdue after a time; never if
-    /// there is no further attempt.
-    pub fn before_first(now_ms: u64, overdue_ms: Option<u64>) -> Silence {
-        Silence { since_ms: now_ms, overdue_ms, seen: None }
+    /// A run that was just sent, and whose first event is overdue after `overdue_ms`; never if
+    /// there can be no further attempt.
+    pub fn before_first_event(now_ms: u64, overdue_ms: Option<u64>) -> Silence {
+        Silence { since_ms: now_ms, overdue_ms, observed: None }
     }
 
-    /// Takes in what the engine's state, asked for at `asked_ms`, says of the run.
-    pub fn see(&mut self, sighting: Sighting, asked_ms: u64) -> Verdict {
-        if asked_ms < self.since_ms + STATE_AGE_MS {
+    /// Judges the run by the engine's state, which was requested at `asked_ms`.
+    pub fn judge(&mut self, status: RunStatus, asked_ms: u64) -> Verdict {
+        if asked_ms < self.since_ms + MAX_STATE_AGE_MS {
             return Verdict::Wait;
         }
-        match sighting {
-            Sighting::Untold | Sighting::MayWait => self.see_nothing(asked_ms),
-            Sighting::Missing => Verdict::Leave(Why::Gone),
-            Sighting::Listed { tokens, events } => self.see_listed(tokens, events, asked_ms),
+        match status {
+            RunStatus::Untold | RunStatus::MayWait => self.judge_unlisted(asked_ms),
+            RunStatus::Missing => Verdict::Leave(LeaveReason::Gone),
+            RunStatus::Listed { tokens, events } => self.judge_listed(tokens, events, asked_ms),
         }
     }
 
-    fn see_nothing(&self, asked_ms: u64) -> Verdict {
+    fn judge_unlisted(&self, asked_ms: u64) -> Verdict {
         let is_over = |overdue_ms| asked_ms >= self.since_ms.saturating_add(overdue_ms);
         match self.overdue_ms {
-            Some(overdue_ms) if is_over(overdue_ms) => Verdict::Leave(Why::Overdue),
+            Some(overdue_ms) if is_over(overdue_ms) => Verdict::Leave(LeaveReason::Overdue),
             _ => Verdict::Wait,
         }
     }
 
-    fn see_listed(&mut self, tokens: u64, events: u64, asked_ms: u64) -> Verdict {
-        let now = Seen { tokens, events, at_ms: asked_ms };
-        let Some(before) = self.seen else {
-            self.seen = Some(now);
+    fn judge_listed(&mut self, tokens: u64, events: u64, asked_ms: u64) -> Verdict {
+        let now = Observation { tokens, events, at_ms: asked_ms };
+        let Some(before) = self.observed else {
+            self.observed = Some(now);
             return Verdict::Wait;
         };
         if events > before.events {
-            return Verdict::Leave(Why::AnswerLost);
+            return Verdict::Leave(LeaveReason::AnswerLost);
         }
         if tokens != before.tokens {
-            self.seen = Some(now);
+            self.observed = Some(now);
             return Verdict::Wait;
         }
-        let stands = asked_ms >= before.at_ms + PROGRESS_MS;
-        if stands { Verdict::Leave(Why::Standing) } else { Verdict::Wait }
+        let is_stalled = asked_ms >= before.at_ms + PROGRESS_TIMEOUT_MS;
+        if is_stalled { Verdict::Leave(LeaveReason::Standing) } else { Verdict::Wait }
     }
 }
--- a/src/gateway/server.rs
+++ b/src/gateway/server.rs
@@ -18,7 +18,7 @@
 
 use super::answer::{self, Answer};
 use super::control::Control;
-use super::control::knowledge::{CONFIG_PATH, ConfigAsk, FETCH_TIMEOUT_MS, LIST_PATH, ListAsk};
+use super::control::fetch::{CONFIG_PATH, ConfigRequest, FETCH_TIMEOUT_MS, LIST_PATH, ListRequest};
 use super::dialect::{Dialect, Question};
 use super::directory::Directory;
 use super::membership::Phase;
@@ -181,7 +181,7 @@
         // The grace runs from the order: traffic hears of it before the directory is called, which
         // may take a second to answer. The send fails only if the traffic thread has ended.
         let _ = stop_traffic.send(Some(stop));
-        let _ = tokio::join!(control.release(), traffic_state.changed());
+        let _ = tokio::join!(control.remove_registration(), traffic_state.changed());
         control.leave();
         slog::info!(parts.log, "stopped");
         traffic.join().unwrap_or_else(|_| Err(panicked("traffic")))
@@ -232,8 +232,8 @@
     accepting: JoinHandle<()>,
 ) {
     traffic.stop.set(Some(stop));
-    let is_idle = || traffic.open_requests.get() == 0 && traffic.now_ms() >= stop.least_ms();
-    wait_until(traffic, stop.answer_ms(), is_idle).await;
+    let is_idle = || traffic.open_requests.get() == 0 && traffic.now_ms() >= stop.earliest_end_ms();
+    wait_until(traffic, stop.final_answers_ms(), is_idle).await;
     let after_ms = traffic.now_ms() - stop.since_ms;
     slog::info!(traffic.log, "closing to callers"; "open" => traffic.open_requests.get(),
         "connections" => traffic.connections.get(), "after_ms" => after_ms);
@@ -242,9 +242,9 @@
     // The listener takes in those that came before; a panic there leaves it closed as well.
     let _ = accepting.await;
     let is_left = || traffic.connections.get() == 0;
-    wait_until(traffic, stop.answer_ms(), is_left).await;
+    wait_until(traffic, stop.final_answers_ms(), is_left).await;
     traffic.final_responses_due.send_replace(true);
-    wait_until(traffic, stop.end_ms(), is_left).await;
+    wait_until(traffic, stop.latest_end_ms(), is_left).await;
     slog::info!(traffic.log, "requests ended"; "cut" => traffic.open_requests.get(),
         "connections" => traffic.connections.get(),
         "after_ms" => traffic.now_ms() - stop.since_ms);
@@ -300,10 +300,10 @@
     let body = Limited::new(request.into_body(), LONGEST_ASK_BYTES).collect().await;
     let Ok(body) = body.map(Collected::to_bytes) else { return refused(400) };
     let answered = match &*path {
-        CONFIG_PATH => rmp_serde::from_slice::<ConfigAsk>(&body)
+        CONFIG_PATH => rmp_serde::from_slice::<ConfigRequest>(&body)
             .map(|asked| rmp_serde::to_vec(&control.config_for(asked)).ok()),
         LIST_PATH if !has_place => return refused(503),
-        LIST_PATH => rmp_serde::from_slice::<ListAsk>(&body).map(|asked| {
+        LIST_PATH => rmp_serde::from_slice::<ListRequest>(&body).map(|asked| {
             control.list_for(&asked).and_then(|listed| rmp_serde::to_vec(&listed).ok())
         }),
         _ => return refused(404),
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -17,14 +17,14 @@
 use self::attempt::OpenResponse;
 use self::copy::{FinishedCopy, RunCopy};
 use super::ablation::Mechanism;
-use super::answer::{self, Answer, Cut, Part};
+use super::answer::{self, Answer, BodyChunk, Truncated};
 use super::dialect::Copy;
 use super::failure::Failure;
 use super::job::Job;
 use super::policy::admission;
 use super::policy::engine::Need;
 use super::policy::placement::Constraints;
-use super::policy::silence::Patience;
+use super::policy::silence::SilenceTimeouts;
 use super::route::Repeat;
 use super::traffic::Traffic;
 use super::worker::Worker;
@@ -135,7 +135,7 @@
     traffic: Rc<Traffic>,
     job: Rc<Job>,
     response_tx: Option<oneshot::Sender<Answer>>,
-    body_tx: Option<mpsc::Sender<Part>>,
+    body_tx: Option<mpsc::Sender<BodyChunk>>,
     /// The id of the last event that the caller has.
     last_event: Option<u64>,
     /// When the latest event arrived; before the first one, when the run started.
@@ -270,12 +270,13 @@
     /// Waits while requests that can still be on time need the engines. Returns false if the caller
     /// has disconnected or the deadline has passed.
     async fn yield_to_timely_requests(&mut self) -> bool {
-        let late = admission::Late { since_ms: self.job.since_ms, until_ms: self.job.until_ms };
+        let late =
+            admission::LateRequest { since_ms: self.job.since_ms, until_ms: self.job.until_ms };
         loop {
-            if !self.wait(fastrand::u64(..admission::LOOK_MS)).await {
+            if !self.wait(fastrand::u64(..admission::MAX_RECHECK_DELAY_MS)).await {
                 return false;
             }
-            if late.is_sent(self.traffic.service_load(&self.job.service), self.traffic.now_ms()) {
+            if late.may_send(self.traffic.service_load(&self.job.service), self.traffic.now_ms()) {
                 return true;
             }
         }
@@ -393,10 +394,10 @@
         }
         let constraints = Constraints {
             need: self.need(),
-            not: self.excluded.clone(),
-            not_domains: self.avoided_domains(),
+            excluded: self.excluded.clone(),
+            avoided_domains: self.avoided_domains(),
             apart_from: None,
-            near: Some(Arc::clone(&self.traffic.settings.domain)),
+            preferred_domain: Some(Arc::clone(&self.traffic.settings.domain)),
         };
         let prompt = &self.job.demand.prompt_parts;
         let chosen = self.traffic.choose_for_prompt(&self.job.service, &constraints, prompt);
@@ -415,8 +416,8 @@
     }
 
     /// How long the route allows the stream to be silent.
-    fn silence_timeouts(&self) -> Patience {
-        Patience::of(self.job.route.target_latency_ms, self.job.route.target_gap_ms)
+    fn silence_timeouts(&self) -> SilenceTimeouts {
+        SilenceTimeouts::of(self.job.route.target_latency_ms, self.job.route.target_gap_ms)
     }
 
     /// The hash of the prompt's last part, which is the request's own.
@@ -446,7 +447,7 @@
         if let Some(body_tx) = self.body_tx.take() {
             // Without the last chunk, the response can't be mistaken for a complete one.
             tokio::task::spawn_local(async move {
-                let _ = body_tx.send(Err(Cut)).await;
+                let _ = body_tx.send(Err(Truncated)).await;
             });
         }
         self.respond(answer);
@@ -479,7 +480,7 @@
 /// Completes when the caller has closed its connection.
 async fn caller_disconnected(
     response_tx: &mut Option<oneshot::Sender<Answer>>,
-    body_tx: &Option<mpsc::Sender<Part>>,
+    body_tx: &Option<mpsc::Sender<BodyChunk>>,
 ) {
     match (response_tx, body_tx) {
         (Some(response_tx), _) => response_tx.closed().await,
--- a/src/gateway/stream/attempt.rs
+++ b/src/gateway/stream/attempt.rs
@@ -152,10 +152,10 @@
         let traffic = Rc::clone(&self.traffic);
         let mut sending = std::pin::pin!(lease.channel.send(request));
         let sent_ms = traffic.now_ms();
-        let mut silence = Silence::before_first(sent_ms, self.first_event_overdue_ms());
+        let mut silence = Silence::before_first_event(sent_ms, self.first_event_overdue_ms());
         let response = loop {
             let wake_ms =
-                (traffic.now_ms() + self.silence_timeouts().first_ms).min(self.job.until_ms);
+                (traffic.now_ms() + self.silence_timeouts().first_event_ms).min(self.job.until_ms);
             tokio::select! {
                 response = sending.as_mut() => break response,
                 () = caller_disconnected(&mut self.response_tx, &self.body_tx) =>
@@ -244,7 +244,7 @@
             return Some(lost_run("silent, and its liveness probe failed", LossCause::Silent));
         }
         let sighting = liveness.sighting(self.job.id());
-        let verdict = silence.see(sighting, probed_ms);
+        let verdict = silence.judge(sighting, probed_ms);
         slog::info!(self.traffic.log, "silent run checked"; "request" => self.job.id(),
             "upstream" => &*worker.upstream.id, "sighting" => ?sighting, "verdict" => ?verdict,
             "told" => %liveness, "reading" => self.traffic.prefills_at(worker),
@@ -364,7 +364,7 @@
             let mut kept: HeaderMap = headers::end_to_end(head.headers);
             kept.remove(CONTENT_LENGTH);
             self.body_tx = Some(parts);
-            self.respond(answer::growing(head.status.as_u16(), kept, growing));
+            self.respond(answer::streaming(head.status.as_u16(), kept, growing));
         }
         body
     }
--- a/src/gateway/stream/crashes.rs
+++ b/src/gateway/stream/crashes.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use super::super::policy::quarantine::{self, CLEARING_EVENTS};
+use super::super::policy::quarantine::{self, MIN_CLEARING_EVENTS};
 use super::super::traffic::JUDGEMENT_WAIT_MS;
 use super::super::worker::Worker;
 use super::{LossCause, Outcome, Run, UnjudgedCrash, lost_run};
@@ -50,8 +50,9 @@
 
     /// Reports that the run has progressed beyond the point at which engines crashed.
     pub(super) fn clear_crashes_if_beyond(&mut self) {
-        let is_beyond =
-            |crashed: &u64| self.last_event.is_some_and(|event| event >= crashed + CLEARING_EVENTS);
+        let is_beyond = |crashed: &u64| {
+            self.last_event.is_some_and(|event| event >= crashed + MIN_CLEARING_EVENTS)
+        };
         if self.last_crash_event.take_if(|crashed| is_beyond(crashed)).is_some() {
             self.unjudged_crashes.clear();
             self.traffic.note_served(&self.job, self.last_event);
--- a/src/gateway/stream/relay.rs
+++ b/src/gateway/stream/relay.rs
@@ -9,7 +9,7 @@
 use hyper::body::Incoming;
 
 use super::super::channel;
-use super::super::events::{Event, Splitter};
+use super::super::events::{Event, EventSplitter};
 use super::super::metrics::Time;
 use super::super::policy::silence::{self, Silence};
 use super::super::traffic::{Liveness, MAX_TIMER_LAG_MS};
@@ -57,14 +57,14 @@
         let worker = &worker;
         let traffic = Rc::clone(&self.traffic);
         let timeouts = self.silence_timeouts();
-        let mut splitter = Splitter::default();
+        let mut splitter = EventSplitter::default();
         let mut events = Vec::new();
         let first_ms = traffic.now_ms();
         let mut last_data_ms = first_ms;
         let mut silence = Silence::new(last_data_ms);
         loop {
             let quiet_ms = match prefill_count {
-                Some(_) => timeouts.first_ms,
+                Some(_) => timeouts.first_event_ms,
                 None if traffic.prefills_at(worker) > 0 => timeouts.reading_gap_ms,
                 None => timeouts.gap_ms,
             };
@@ -113,7 +113,7 @@
                     frame.into_data().unwrap_or_default()
                 }
                 Some(Err(error)) => {
-                    return self.note_connection_closed(worker, channel::describe(&error));
+                    return self.note_connection_closed(worker, channel::error_with_cause(&error));
                 }
                 None if splitter.is_empty() => {
                     worker.ended(false, last_data_ms);
@@ -178,13 +178,13 @@
             return SilenceCheck::Wait;
         }
         let since_first_ms = probed_ms.saturating_sub(times.first_ms);
-        if silence::is_put_out(liveness.sighting(self.job.id()), since_first_ms) {
+        if silence::is_preempted(liveness.sighting(self.job.id()), since_first_ms) {
             return self.hand_over(worker, "engine preempted the run").await;
         }
         let timeouts = self.silence_timeouts();
         let has_pending_prompts = liveness.has_pending_prompts();
         let stall_ms =
-            if has_pending_prompts { timeouts.stuck_reading_ms } else { timeouts.stuck_ms };
+            if has_pending_prompts { timeouts.stalled_reading_ms } else { timeouts.stalled_ms };
         let stall_ms = times.last_data_ms + stall_ms;
         tokio::select! {
             frame = body.frame() => SilenceCheck::Frame(frame),
--- a/src/gateway/traffic.rs
+++ b/src/gateway/traffic.rs
@@ -29,9 +29,9 @@
 use super::failure::Failure;
 use super::fleet::Fleet;
 use super::job::Job;
-use super::loads::{Held, Own, Sent};
+use super::loads::{LocalTraffic, SentRequests, UpstreamLoad};
 use super::metrics::Metrics;
-use super::policy::admission::Load;
+use super::policy::admission::EngineActivity;
 use super::policy::budget::Budget;
 use super::policy::departures::Departures;
 use super::policy::engine::{self, Need};
@@ -148,7 +148,7 @@
     /// Whether this instance accepts a request; during a planned stop it accepts only some.
     pub fn accepts(&self, job: &Job) -> bool {
         let now_ms = self.now_ms();
-        self.stop.get().is_none_or(|stop| stop.takes(job.route.repeat, job.until_ms, now_ms))
+        self.stop.get().is_none_or(|stop| stop.accepts(job.route.repeat, job.until_ms, now_ms))
     }
 
     /// How long the caller should wait before it retries after a failure, if the state of the
@@ -163,7 +163,7 @@
             Failure::NoUpstream => self.outage_retry_after_ms(&job.service, left_ms),
             Failure::Quarantined { .. } | Failure::Poison { .. } => self.quarantine_left_ms(job),
             Failure::Full | Failure::TooManyRepeats if job.route.repeat.is_stream() => {
-                Some(outages::full_after_ms(left_ms, &mut fastrand::Rng::new()))
+                Some(outages::full_retry_after_ms(left_ms, &mut fastrand::Rng::new()))
             }
             _ => None,
         }
@@ -240,7 +240,7 @@
     pub fn hedge_after_ms(&self, job: &Job) -> Option<u64> {
         let mut latencies = self.latencies.borrow_mut();
         let known = latencies.entry(Arc::clone(&job.route.name)).or_default();
-        hedge::after_ms(known, job.route.target_latency_ms)
+        hedge::delay_ms(known, job.route.target_latency_ms)
     }
 
     /// Completes when a planned stop gives the final responses; never, if there is no stop.
@@ -262,7 +262,7 @@
         if is_fleet_new {
             self.apply_fleet(&view.fleet);
         }
-        if is_fleet_new || !view.departures.is_same(&self.departures.borrow()) {
+        if is_fleet_new || !view.departures.is_same_data(&self.departures.borrow()) {
             self.apply_departures(&view.departures);
         }
         view
@@ -416,20 +416,20 @@
     /// Refreshes what the next update to peers contains: load, lost upstreams, cache locations and
     /// retry counts.
     fn refresh_peer_update(&self) {
-        let mut own = Own::default();
+        let mut own = LocalTraffic::default();
         let locations = self.cache_locations.borrow();
         let entries = locations
             .iter()
             .flat_map(|(prefix, engines)| engines.iter().map(|engine| (*prefix, engine)));
-        own.places =
+        own.cache_locations =
             entries.map(|(prefix, engine)| (prefix, Arc::clone(&engine.upstream))).collect();
         for (service, budget) in self.retry_budgets.borrow().iter() {
-            let (requests, repeats) = budget.sums();
-            own.sent.push(Sent { service: Arc::clone(service), requests, repeats });
+            let (requests, repeats) = budget.counts();
+            own.sent.push(SentRequests { service: Arc::clone(service), requests, repeats });
         }
         own.lost = self.losses.borrow().own();
         for worker in self.workers.borrow().values() {
-            let held = Held {
+            let held = UpstreamLoad {
                 upstream: Arc::clone(&worker.upstream.id),
                 runs: worker.runs.get(),
                 copies: worker.copies.get(),
@@ -437,8 +437,8 @@
                 pending_tokens: worker.pending_tokens.get(),
                 reserved_tokens: worker.reserved_tokens.get(),
             };
-            if !held.is_nothing() {
-                own.held.push(held);
+            if !held.is_empty() {
+                own.loads.push(held);
             }
         }
         self.shared.set_own(own);
@@ -446,7 +446,7 @@
 
     /// How many engines of a service accept work, and how many of them are processing prompts, as
     /// far as known.
-    pub fn service_load(&self, service: &str) -> Load {
+    pub fn service_load(&self, service: &str) -> EngineActivity {
         let workers = self.workers.borrow();
         let now_ms = self.now_ms();
         let accepts_work = |worker: &&Rc<Worker>| {
@@ -456,7 +456,7 @@
         };
         let engines = || workers.values().filter(accepts_work);
         let reading = engines().filter(|worker| self.prefills_at(worker) > 0);
-        Load { engines: engines().count(), reading: reading.count() }
+        EngineActivity { engines: engines().count(), reading: reading.count() }
     }
 
     /// How many prompts of all instances an engine is processing (prefill), as far as known.
@@ -497,7 +497,7 @@
             id: Arc::clone(&worker.upstream.id),
             domain: Arc::clone(&worker.upstream.domain),
             load,
-            failing: worker.failing(now_ms),
+            failure_rate: worker.failing(now_ms),
             is_suspect: self.is_suspected(worker, now_ms),
         }
     }
--- a/src/gateway/traffic/budgets.rs
+++ b/src/gateway/traffic/budgets.rs
@@ -14,7 +14,7 @@
         let bound = self.retry_bound(service);
         let now_ms = self.now_ms();
         let mut budgets = self.retry_budgets.borrow_mut();
-        budgets.entry(Arc::clone(service)).or_default().request(bound, now_ms);
+        budgets.entry(Arc::clone(service)).or_default().count_request(bound, now_ms);
     }
 
     /// Takes one retry from a service's budget, if its bound allows that.
@@ -22,7 +22,7 @@
         let bound = self.retry_bound(service);
         let now_ms = self.now_ms();
         let mut budgets = self.retry_budgets.borrow_mut();
-        budgets.entry(Arc::clone(service)).or_default().repeat(bound, now_ms)
+        budgets.entry(Arc::clone(service)).or_default().try_repeat(bound, now_ms)
     }
 
     /// Whether a service's budget allows a retry now.
@@ -30,7 +30,7 @@
         let bound = self.retry_bound(service);
         let now_ms = self.now_ms();
         let mut budgets = self.retry_budgets.borrow_mut();
-        budgets.entry(Arc::clone(service)).or_default().has_repeat(bound, now_ms)
+        budgets.entry(Arc::clone(service)).or_default().allows_repeat(bound, now_ms)
     }
 
     /// Expected number of requests to a service that other instances place before this one receives
@@ -40,7 +40,8 @@
     pub(super) fn unreported_requests(&self, view: &View, service: &str, need: Need) -> f64 {
         let sent = view.sent.get(service).filter(|_| need.prompt_tokens > 0);
         let window_ms = self.settings.repeat_window_ms.max(1);
-        sent.map_or(0.0, |sent| sent.requests as f64) * loads::DIGEST_MS as f64 / window_ms as f64
+        sent.map_or(0.0, |sent| sent.requests as f64) * loads::DIGEST_INTERVAL_MS as f64
+            / window_ms as f64
     }
 
     fn retry_bound(&self, service: &str) -> Bound {
--- a/src/gateway/traffic/places.rs
+++ b/src/gateway/traffic/places.rs
@@ -12,7 +12,7 @@
 use hyper::Method;
 
 use super::super::dialect::{Demand, PromptPart};
-use super::super::policy::recall;
+use super::super::policy::cache_lookup;
 use super::super::view::{Signal, View};
 use super::super::worker::Worker;
 use super::Traffic;
@@ -102,7 +102,7 @@
     /// The engines that hold a prompt prefix: those that peers reported, then those recorded here,
     /// each in the order of the records.
     fn cache_locations_of(&self, prefix: u64, view: &View) -> Vec<Arc<str>> {
-        let mut engines: Vec<Arc<str>> = view.places.of(prefix).cloned().collect();
+        let mut engines: Vec<Arc<str>> = view.places.engines_of(prefix).cloned().collect();
         if let Some(own) = self.cache_locations.borrow().get(&prefix) {
             engines.extend(own.iter().map(|location| Arc::clone(&location.upstream)));
         }
@@ -160,7 +160,7 @@
             self.cache_queried.borrow_mut().insert(Arc::from(service));
             tokio::task::spawn_local(Rc::clone(self).query_cached_prompts(Arc::from(service)));
         }
-        let until_ms = started_ms + recall::WAIT_MS;
+        let until_ms = started_ms + cache_lookup::MAX_WAIT_MS;
         while self.cache_location(prefix).is_none() && self.now_ms() < until_ms {
             tokio::time::sleep(Duration::from_millis(POLL_INTERVAL_MS)).await;
         }
@@ -176,14 +176,14 @@
         let eligible = workers
             .into_iter()
             .filter(|worker| worker.upstream.service == service && !worker.is_throttled(now_ms))
-            .filter(|_| recall::asks(instances, &mut random));
+            .filter(|_| cache_lookup::should_ask(instances, &mut random));
         let path = self.dialect.kept_path();
         let mut queries: FuturesUnordered<_> = eligible
             .map(|worker| {
                 let traffic = Rc::clone(&self);
                 async move {
                     let query = traffic.call_engine(&worker, Method::GET, path, Bytes::new());
-                    let limit = Duration::from_millis(recall::WAIT_MS);
+                    let limit = Duration::from_millis(cache_lookup::MAX_WAIT_MS);
                     let answered =
                         tokio::time::timeout(limit, query).await.ok().and_then(Result::ok);
                     (worker, answered)
--- a/src/gateway/traffic/quarantine.rs
+++ b/src/gateway/traffic/quarantine.rs
@@ -6,7 +6,7 @@
 use super::super::crash::{Crash, Stage};
 use super::super::failure::Failure;
 use super::super::job::Job;
-use super::super::policy::coincidence::SETTLE_MS;
+use super::super::policy::coincidence::JUDGEMENT_DELAY_MS;
 use super::super::policy::quarantine::{self, Suspect};
 use super::super::view::Report;
 use super::super::worker::Worker;
@@ -15,7 +15,7 @@
 /// Time within which the judgement of a crash reaches the traffic thread of this instance.
 const JUDGEMENT_DELIVERY_MS: u64 = 50;
 /// How long a request waits after a crash before it resumes, if the judgement may quarantine it.
-pub(in super::super) const JUDGEMENT_WAIT_MS: u64 = SETTLE_MS + JUDGEMENT_DELIVERY_MS;
+pub(in super::super) const JUDGEMENT_WAIT_MS: u64 = JUDGEMENT_DELAY_MS + JUDGEMENT_DELIVERY_MS;
 
 impl Traffic {
     /// What the quarantine knows of a request. Computes no fingerprint while the quarantine is
@@ -56,7 +56,7 @@
     /// judged yet.
     pub fn may_be_quarantined(&self, job: &Job, points: u32) -> bool {
         let counted = self.quarantine_entry(job).unwrap_or_default().points;
-        quarantine::may_follow(counted + points)
+        quarantine::may_quarantine(counted + points)
     }
 
     /// Reports that an upstream closed a connection during a request, if its process turns out to
--- a/src/gateway/traffic/signals.rs
+++ b/src/gateway/traffic/signals.rs
@@ -68,7 +68,7 @@
     /// Applies which upstreams announced to any instance that they are leaving.
     pub(super) fn apply_departures(&self, departures: &Departures) {
         for worker in self.workers.borrow().values() {
-            if departures.holds(&worker.upstream) && worker.note_said_leaving() {
+            if departures.contains(&worker.upstream) && worker.note_said_leaving() {
                 self.log_leaving(worker, "a peer");
             }
         }
--- a/tests/gateway/streams.rs
+++ b/tests/gateway/streams.rs
@@ -218,7 +218,7 @@
     }
     running.site.store.fail(siskinrock_fakes::store::Fault::None);
     wait_for("only listed engines count again", async || {
-        running.gateways[0].logged().contains("count only as listed")
+        running.gateways[0].logged().contains("rediscovered engines dropped")
     })
     .await;
 }
