--- a/src/gateway/traffic/losses.rs
+++ b/src/gateway/traffic/losses.rs
@@ -274,11 +274,11 @@
     /// Whether an upstream was lost, or is suspected because of correlated losses in its failure
     /// domain.
     pub fn is_suspected(&self, worker: &Worker, now_ms: u64) -> bool {
-        let has_correlated_losses = || {
+        let is_domain_suspected = || {
             Mechanism::Doubt.is_on()
                 && self.losses.borrow().has_correlated_losses(loss_subject(worker), now_ms)
         };
-        self.is_lost(worker, now_ms) || has_correlated_losses()
+        self.is_lost(worker, now_ms) || is_domain_suspected()
     }
 }
 
