--- a/src/gateway/open.rs
+++ b/src/gateway/open.rs
@@ -44,7 +44,7 @@
 impl OpenRequestGuard {
     /// Counts a request as open.
     pub fn new(traffic: &Rc<Traffic>, id: Option<Arc<str>>, number: u32) -> OpenRequestGuard {
-        traffic.open.set(traffic.open.get() + 1);
+        traffic.open_requests.set(traffic.open_requests.get() + 1);
         let since_ms = traffic.now_ms();
         OpenRequestGuard { traffic: Rc::clone(traffic), id, number, since_ms, is_answered: false }
     }
@@ -53,7 +53,7 @@
 impl Drop for OpenRequestGuard {
     fn drop(&mut self) {
         let traffic = &self.traffic;
-        traffic.open.set(traffic.open.get() - 1);
+        traffic.open_requests.set(traffic.open_requests.get() - 1);
         if self.is_answered {
             return;
         }
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -1,8 +1,8 @@
-//! A stream of events that outlives its engine inside one answer.
+//! Event streams that survive the loss of their engine within one response.
 //!
-//! While an engine runs it, a copy of the run's memory grows at an engine of another failure
-//! domain. When the first one breaks off or falls silent, the run goes on from that copy after the
-//! last whole event that the caller has, and a new copy is started at once.
+//! While an engine runs a request, a copy of the run's KV cache grows at an engine in another
+//! failure domain. If the first engine closes the connection or stops responding, the run resumes
+//! from the copy after the last whole event that the caller has, and a new copy is started at once.
 
 mod attempt;
 mod copy;
@@ -14,8 +14,8 @@
 
 use tokio::sync::{mpsc, oneshot};
 
-use self::attempt::Opened;
-use self::copy::{CopyAt, NewCopy};
+use self::attempt::OpenResponse;
+use self::copy::{FinishedCopy, RunCopy};
 use super::ablation::Mechanism;
 use super::answer::{self, Answer, BodyChunk, Truncated};
 use super::dialect::Copy;
@@ -29,102 +29,104 @@
 use super::traffic::Traffic;
 use super::worker::Worker;
 
-/// The wait before another look when no engine takes work in the middle of an answer, doubled each
-/// time: all that were left are asked again then, and the few that still live are full.
-const LOOK_AGAIN_MS: u64 = 50;
-/// The longest such wait: a run that lost its engine still goes on within a second of a free one.
-const LOOK_AGAIN_MOST_MS: u64 = 800;
-/// How long a run keeps away from a failure domain in which it lost an engine: engines that crashed
-/// are back after about 1.2 s, and with one domain of three left out for longer, the copies of the
-/// next loss lie where their runs are.
-const AVOID_MS: u64 = 1_500;
-
-/// Serves a stream: returns the head of the answer, whose body then grows.
+/// Initial delay before another attempt when no engine accepts the rest of a response, doubled each
+/// time. All engines are tried again then, including those that the run left: the few that are
+/// still alive are full.
+const MIN_RETRY_DELAY_MS: u64 = 50;
+/// Maximum of this delay: a run that lost its engine resumes within a second of an engine becoming
+/// free.
+const MAX_RETRY_DELAY_MS: u64 = 800;
+/// How long a run avoids a failure domain in which it lost an engine. Engines that crashed are back
+/// after about 1.2 s, and if one domain of three were avoided for longer, copies would lie in the
+/// same domain as their runs at the next loss.
+const DOMAIN_AVOIDANCE_MS: u64 = 1_500;
+
+/// Serves a stream. Returns the head of the response, whose body is sent as events arrive.
 pub async fn serve(traffic: &Rc<Traffic>, job: Job) -> Answer {
-    let (head, answered) = oneshot::channel();
+    let (response_tx, response) = oneshot::channel();
     let traffic = Rc::clone(traffic);
     let job = Rc::new(job);
     tokio::task::spawn_local(async move {
-        let mut run = Run::new(&traffic, Rc::clone(&job), head);
+        let mut run = Run::new(&traffic, Rc::clone(&job), response_tx);
         tokio::select! {
             biased;
             () = run.drive() => {}
-            // What ran so long is cut: its caller goes on elsewhere after its last event.
-            () = traffic.gives_last_answers() => run.give_up(Failure::Stopped),
-            // It may wait at an engine, which crashes if the run begins there.
-            () = traffic.is_quarantined(&job) => {
+            // The response is truncated; its caller resumes elsewhere after its last event.
+            () = traffic.wait_for_final_responses() => run.give_up(Failure::Stopped),
+            // The request may be queued at an engine, which would crash when the run starts.
+            () = traffic.wait_until_quarantined(&job) => {
                 run.give_up(Failure::Poison { fingerprint: job.fingerprint() });
             }
         }
     });
-    // The run always answers, unless its caller has left.
-    answered.await.unwrap_or_else(|_| answer::failed(&Failure::Unknown, None))
+    // The run always sends a response, unless its caller has disconnected.
+    response.await.unwrap_or_else(|_| answer::failed(&Failure::Unknown, None))
 }
 
 /// How an attempt ended.
 #[derive(Debug)]
 enum Outcome {
-    /// The answer is complete, or was given otherwise.
+    /// The response is complete, or the caller was sent an upstream's error.
     Done,
-    /// The caller has left.
-    CallerLeft,
-    /// It certainly did not run there.
-    NotRun { why: Refused },
-    /// It goes on elsewhere, if it may.
-    Lost { why: String, loss: Loss },
-    /// Another engine has taken the run.
-    Moved(Box<Opened>),
-    /// The time is over.
-    TimeOver,
-    /// The budget of repeats of all instances is used up.
-    OverBudget,
+    /// The caller disconnected.
+    CallerDisconnected,
+    /// The request certainly did not run there.
+    NotRun { why: NotRunReason },
+    /// The run lost its engine, and resumes elsewhere if the route allows that.
+    Lost { why: String, cause: LossCause },
+    /// Another engine has taken over the run.
+    Moved(Box<OpenResponse>),
+    /// The deadline has passed.
+    DeadlinePassed,
+    /// The retry budget of all instances is exhausted.
+    RetryBudgetExhausted,
 }
 
 /// How far a run has come at one engine.
 #[derive(Debug, Clone, Copy, Default)]
 struct Progress {
-    /// When the head of its answer came, with which the run begins there.
-    answers_since_ms: Option<u64>,
-    /// Events that the engine has made of it.
+    /// When the response head arrived, with which the run starts there.
+    response_started_ms: Option<u64>,
+    /// Events of the run that the engine has sent.
     events: u64,
 }
 
-/// An engine that ended under a run a moment ago.
+/// A crash of an engine during the run that may not be judged yet.
 #[derive(Debug, Clone, Copy)]
-struct Unjudged {
+struct UnjudgedCrash {
     at_ms: u64,
-    /// What that counts against the request.
+    /// Points that the crash counts against the request.
     points: u32,
 }
 
-/// What became of the engine that a run was lost at.
+/// How a run lost its engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Loss {
-    /// It ended the connection without an end of the answer, as a process that ends does.
-    BrokeOff,
-    /// It is silent.
+enum LossCause {
+    /// The engine closed the connection before the end of the response, as an exiting process does.
+    ConnectionClosed,
+    /// The engine stopped responding.
     Silent,
-    /// It lives, and the run is left or can't be used.
-    Left,
+    /// The engine is alive, but the run left it or its response is unusable.
+    EngineAlive,
 }
 
-impl Loss {
-    /// Whether the engine is gone.
+impl LossCause {
+    /// Whether the engine itself is gone.
     fn is_engine_gone(self) -> bool {
-        self != Loss::Left
+        self != LossCause::EngineAlive
     }
 }
 
-/// Why an engine certainly did not run a request.
+/// Why a request certainly did not run at an engine.
 #[derive(Debug, Clone, PartialEq, Eq, derive_more::Display)]
-enum Refused {
-    /// Nothing of it was sent.
+enum NotRunReason {
+    /// The request was not sent.
     #[display("{_0}")]
     NotSent(String),
-    /// Another engine has the address: that says nothing of how full the service is.
+    /// Another engine has the address, which says nothing about how full the service is.
     #[display("another engine has its address")]
     Replaced,
-    /// The engine itself said so.
+    /// The engine itself said so, with this status.
     #[display("status {_0}")]
     Status(u16),
 }
@@ -132,98 +134,114 @@
 struct Run {
     traffic: Rc<Traffic>,
     job: Rc<Job>,
-    head: Option<oneshot::Sender<Answer>>,
-    body: Option<mpsc::Sender<BodyChunk>>,
+    response_tx: Option<oneshot::Sender<Answer>>,
+    body_tx: Option<mpsc::Sender<BodyChunk>>,
+    /// The id of the last event that the caller has.
     last_event: Option<u64>,
+    /// When the latest event arrived; before the first one, when the run started.
     last_event_ms: u64,
-    first_ms: Option<u64>,
+    /// How long after the request the first event arrived.
+    first_event_ms: Option<u64>,
     longest_gap_ms: u64,
-    lost_ms: Option<u64>,
-    /// How far the run has come at its present engine.
-    here: Progress,
-    /// Engines that ended under it and whose ends may not be judged yet.
-    crashes: Vec<Unjudged>,
-    /// The last event before an engine ended under it; some more events clear it.
-    crashed_at: Option<u64>,
+    /// When the run lost its engine, until it resumes.
+    engine_lost_ms: Option<u64>,
+    /// How far the run has come at its current engine.
+    progress: Progress,
+    /// Crashes during the run that may not be judged yet.
+    unjudged_crashes: Vec<UnjudgedCrash>,
+    /// The last event before the latest crash. Some events later, the crashes are cleared.
+    last_crash_event: Option<u64>,
+    /// Whether the request may have run at any engine.
     may_have_run: bool,
-    /// Attempts that count against the route's bound.
-    sent: u32,
-    /// Requests that reached an engine, each of which draws on the budget of repeats but the first.
-    arrived: u32,
-    /// A repeat that was taken before a living engine was left, for the next attempt.
-    has_repeat: bool,
-    /// Whether its caller goes on after the loss of all instances, so that its allowed pause is over.
+    /// Attempts that count against the route's maximum.
+    attempts: u32,
+    /// Requests that reached an engine. All but the first take a retry from the budget.
+    delivered: u32,
+    /// Whether a retry was taken for the next attempt before the run left an engine that is alive.
+    has_taken_retry: bool,
+    /// Whether the caller reconnected after the loss of all instances, so that the allowed gap
+    /// between events is exceeded already.
     is_late: bool,
-    stuck_moves: u32,
-    look_again_ms: u64,
-    left: Vec<Arc<str>>,
+    /// Attempted handovers from an engine that is alive.
+    stall_handovers: u32,
+    retry_delay_ms: u64,
+    /// Engines that the next attempt must not use.
+    excluded: Vec<Arc<str>>,
+    /// Failure domains in which the run lost engines, and when.
     lost_domains: Vec<(Arc<str>, u64)>,
-    copy: Option<CopyAt>,
-    copying: Option<oneshot::Receiver<Option<NewCopy>>>,
-    copy_again_ms: u64,
+    copy: Option<RunCopy>,
+    pending_copy: Option<oneshot::Receiver<Option<FinishedCopy>>>,
+    /// When a copy may be attempted again.
+    next_copy_ms: u64,
 }
 
 impl Run {
-    fn new(traffic: &Rc<Traffic>, job: Rc<Job>, head: oneshot::Sender<Answer>) -> Run {
+    fn new(traffic: &Rc<Traffic>, job: Rc<Job>, response_tx: oneshot::Sender<Answer>) -> Run {
         Run {
             last_event: job.demand.last_event,
             last_event_ms: traffic.now_ms(),
             traffic: Rc::clone(traffic),
             job,
-            head: Some(head),
-            body: None,
-            first_ms: None,
+            response_tx: Some(response_tx),
+            body_tx: None,
+            first_event_ms: None,
             longest_gap_ms: 0,
-            lost_ms: None,
-            here: Progress::default(),
-            crashes: Vec::new(),
-            crashed_at: None,
+            engine_lost_ms: None,
+            progress: Progress::default(),
+            unjudged_crashes: Vec::new(),
+            last_crash_event: None,
             may_have_run: false,
-            sent: 0,
-            arrived: 0,
-            has_repeat: false,
+            attempts: 0,
+            delivered: 0,
+            has_taken_retry: false,
             is_late: false,
-            stuck_moves: 0,
-            look_again_ms: LOOK_AGAIN_MS,
-            left: Vec::new(),
+            stall_handovers: 0,
+            retry_delay_ms: MIN_RETRY_DELAY_MS,
+            excluded: Vec::new(),
             lost_domains: Vec::new(),
             copy: None,
-            copying: None,
-            copy_again_ms: 0,
+            pending_copy: None,
+            next_copy_ms: 0,
         }
     }
 
     async fn drive(&mut self) {
-        if !self.come_back().await {
-            return self.give_up(self.time_over());
+        if !self.prepare_resumption().await {
+            return self.give_up(self.deadline_failure());
         }
         loop {
             if self.traffic.now_ms() >= self.job.until_ms {
-                return self.give_up(self.time_over());
+                return self.give_up(self.deadline_failure());
             }
-            let Some((worker, copy)) = self.place() else {
-                if self.arrived == 0 {
+            let Some((worker, copy)) = self.choose_engine() else {
+                if self.delivered == 0 {
                     return self.give_up(Failure::NoUpstream);
                 }
                 if !self.may_have_run {
-                    // Every engine has refused it, so asking the same ones again gains nothing.
+                    // Every engine has refused the request; asking the same ones again gains
+                    // nothing.
                     return self.give_up(Failure::Full);
                 }
-                if !self.wait_for_room().await {
+                if !self.wait_to_retry().await {
                     return;
                 }
-                self.left.clear();
+                self.excluded.clear();
                 continue;
             };
-            let (worker, outcome) = self.play(worker, copy).await;
-            if !self.goes_on(&worker, outcome).await {
+            let (worker, outcome) = self.run_attempt(worker, copy).await;
+            if !self.handle_outcome(&worker, outcome).await {
                 return;
             }
         }
     }
 
-    /// An attempt, and what follows where other engines take the run over. Returns the last engine.
-    async fn play(&mut self, worker: Rc<Worker>, copy: Option<Copy>) -> (Rc<Worker>, Outcome) {
+    /// Makes an attempt, and follows the run while other engines take it over. Returns the last
+    /// engine.
+    async fn run_attempt(
+        &mut self,
+        worker: Rc<Worker>,
+        copy: Option<Copy>,
+    ) -> (Rc<Worker>, Outcome) {
         let mut worker = worker;
         let mut outcome = self.attempt(&worker, copy).await;
         while let Outcome::Moved(opened) = outcome {
@@ -233,168 +251,178 @@
         (worker, outcome)
     }
 
-    /// Finds out where the prompt of a caller lies that goes on after the loss of all instances; where
-    /// it has to be read anew, others go first. False if the caller has left or its time is over.
-    async fn come_back(&mut self) -> bool {
-        let part = self.part().filter(|_| self.last_event.is_some());
-        if let Some(part) = part {
-            self.traffic.find_place(&self.job.service, part).await;
+    /// Finds the cached prompt of a caller that reconnects after the loss of all instances. If its
+    /// prompt has to be processed again, other requests go first. Returns false if the caller has
+    /// disconnected or the deadline has passed.
+    async fn prepare_resumption(&mut self) -> bool {
+        let prefix = self.own_prefix().filter(|_| self.last_event.is_some());
+        if let Some(prefix) = prefix {
+            self.traffic.resolve_cache_location(&self.job.service, prefix).await;
         }
-        let Some(part) = part.filter(|part| self.traffic.has_forgotten(*part)) else { return true };
+        let Some(prefix) = prefix.filter(|prefix| self.traffic.needs_cache_lookup(*prefix)) else {
+            return true;
+        };
         self.is_late = true;
-        self.traffic.recall(&self.job.service, part).await;
-        self.traffic.place_of(part).is_some() || self.let_others_go_first().await
+        self.traffic.look_up_cache(&self.job.service, prefix).await;
+        self.traffic.cache_location(prefix).is_some() || self.yield_to_timely_requests().await
     }
 
-    /// Waits while those that can still be on time need the engines. False if the caller has left or
-    /// its time is over.
-    async fn let_others_go_first(&mut self) -> bool {
+    /// Waits while requests that can still be on time need the engines. Returns false if the caller
+    /// has disconnected or the deadline has passed.
+    async fn yield_to_timely_requests(&mut self) -> bool {
         let late =
             admission::LateRequest { since_ms: self.job.since_ms, until_ms: self.job.until_ms };
         loop {
             if !self.wait(fastrand::u64(..admission::MAX_RECHECK_DELAY_MS)).await {
                 return false;
             }
-            if late.may_send(self.traffic.load_of(&self.job.service), self.traffic.now_ms()) {
+            if late.may_send(self.traffic.service_load(&self.job.service), self.traffic.now_ms()) {
                 return true;
             }
         }
     }
 
-    /// The time is over: what every engine refused has certainly not run.
-    fn time_over(&self) -> Failure {
+    /// The failure once the deadline has passed. What every engine refused has certainly not run.
+    fn deadline_failure(&self) -> Failure {
         if self.may_have_run { Failure::TimeOver } else { Failure::TimeOverUnsent }
     }
 
-    /// What follows from an attempt; whether there is another one.
-    async fn goes_on(&mut self, worker: &Rc<Worker>, outcome: Outcome) -> bool {
+    /// Handles the outcome of an attempt; returns whether to make another one.
+    async fn handle_outcome(&mut self, worker: &Rc<Worker>, outcome: Outcome) -> bool {
         let now_ms = self.traffic.now_ms();
         let id = &worker.upstream.id;
         match outcome {
-            // Moves are followed where they happen.
+            // `run_attempt` has followed takeovers already.
             Outcome::Done | Outcome::Moved(_) => return false,
-            Outcome::CallerLeft => {
-                slog::info!(self.traffic.log, "caller left"; "request" => self.job.id(),
+            Outcome::CallerDisconnected => {
+                slog::info!(self.traffic.log, "caller disconnected"; "request" => self.job.id(),
                     "last_event" => self.last_event,
                     "ms" => now_ms - self.job.since_ms);
                 return false;
             }
-            Outcome::TimeOver => {
+            Outcome::DeadlinePassed => {
                 self.give_up(Failure::TimeOver);
                 return false;
             }
-            Outcome::OverBudget if self.body.is_some() => return self.wait_for_room().await,
-            Outcome::OverBudget => {
-                slog::warn!(self.traffic.log, "no repeat left in the budget";
+            Outcome::RetryBudgetExhausted if self.body_tx.is_some() => {
+                return self.wait_to_retry().await;
+            }
+            Outcome::RetryBudgetExhausted => {
+                slog::warn!(self.traffic.log, "retry budget exhausted";
                     "request" => self.job.id(), "service" => &*self.job.service);
                 self.traffic.metrics.count("repeats_over_budget");
                 self.give_up(Failure::TooManyRepeats);
                 return false;
             }
             Outcome::NotRun { why } => {
-                slog::info!(self.traffic.log, "engine did not run it"; "request" => self.job.id(),
-                    "upstream" => &**id, "why" => %why);
-                self.left.push(Arc::clone(id));
+                slog::info!(self.traffic.log, "engine did not run the request";
+                    "request" => self.job.id(), "upstream" => &**id, "why" => %why);
+                self.excluded.push(Arc::clone(id));
                 self.copy = None;
-                return self.goes_on_unrun(&why).await;
+                return self.handle_not_run(&why).await;
             }
-            Outcome::Lost { why, loss } => {
+            Outcome::Lost { why, cause } => {
                 slog::warn!(self.traffic.log, "engine lost"; "request" => self.job.id(),
                     "upstream" => &**id, "domain" => &*worker.upstream.domain, "why" => why,
                     "last_event" => self.last_event, "quiet_ms" => now_ms - self.last_event_ms,
-                    "answering_ms" => self.here.answers_since_ms.map(|since_ms| now_ms - since_ms),
+                    "answering_ms" =>
+                        self.progress.response_started_ms.map(|since_ms| now_ms - since_ms),
                     "fingerprint" => %self.job.fingerprint());
                 self.may_have_run = true;
-                if loss.is_engine_gone() {
+                if cause.is_engine_gone() {
                     self.lost_domains.push((Arc::clone(&worker.upstream.domain), now_ms));
-                    // What ended by itself doesn't count among the attempts.
-                    self.sent = self.sent.saturating_sub(1).max(1);
+                    // An engine that ended by itself doesn't count as an attempt.
+                    self.attempts = self.attempts.saturating_sub(1).max(1);
                 }
             }
         }
-        self.left.push(Arc::clone(id));
-        self.lost_ms.get_or_insert(now_ms);
+        self.excluded.push(Arc::clone(id));
+        self.engine_lost_ms.get_or_insert(now_ms);
         self.traffic.metrics.count("engines_lost");
-        let is_over = self.sent >= self.job.route.max_attempts;
+        let is_over = self.attempts >= self.job.route.max_attempts;
         if is_over || self.job.route.repeat != Repeat::Resumable {
             self.give_up(Failure::Unknown);
             return false;
         }
-        self.wait_for_judgement().await
+        self.wait_for_crash_judgements().await
     }
 
-    /// Whether there is another attempt after one that certainly did not run.
-    async fn goes_on_unrun(&mut self, why: &Refused) -> bool {
-        let Refused::Status(_) = why else { return true };
-        if self.body.is_some() || self.may_have_run {
-            // It has not run there, so it is no attempt by the route's bound.
-            self.sent -= 1;
-            return self.wait_for_room().await;
+    /// Handles an attempt that certainly did not run; returns whether to make another one.
+    async fn handle_not_run(&mut self, why: &NotRunReason) -> bool {
+        let NotRunReason::Status(_) = why else { return true };
+        if self.body_tx.is_some() || self.may_have_run {
+            // The request did not run there, so it doesn't count against the route's maximum.
+            self.attempts -= 1;
+            return self.wait_to_retry().await;
         }
-        if self.sent < self.job.route.max_attempts {
+        if self.attempts < self.job.route.max_attempts {
             return true;
         }
         self.give_up(Failure::Full);
         false
     }
 
-    /// Waits before a run that has lost its engine goes on: engines are full, or the retry budget is
-    /// used up. Asked without a pause, four engines refuse within 80 ms and the answer is cut; a little
-    /// later one of their runs has ended. False if the caller has left or its time is over.
-    async fn wait_for_room(&mut self) -> bool {
-        let pause_ms = self.look_again_ms;
-        self.look_again_ms = (pause_ms * 2).min(LOOK_AGAIN_MOST_MS);
+    /// Waits before a run that lost its engine resumes, if engines are full or the retry budget is
+    /// exhausted. Without a delay, four engines refuse within 80 ms and the response is truncated;
+    /// a little later one of their runs has ended. Returns false if the caller has disconnected or
+    /// the deadline has passed.
+    async fn wait_to_retry(&mut self) -> bool {
+        let pause_ms = self.retry_delay_ms;
+        self.retry_delay_ms = (pause_ms * 2).min(MAX_RETRY_DELAY_MS);
         if self.wait(pause_ms).await {
             return true;
         }
-        self.give_up(self.time_over());
+        self.give_up(self.deadline_failure());
         false
     }
 
-    /// The engine for the next attempt: the one with the copy, or the best one.
-    fn place(&mut self) -> Option<(Rc<Worker>, Option<Copy>)> {
-        self.take_finished_copy(self.traffic.now_ms());
+    /// Chooses the engine for the next attempt: the one with the copy, else the one that has the
+    /// prompt cached, else the best one.
+    fn choose_engine(&mut self) -> Option<(Rc<Worker>, Option<Copy>)> {
+        self.poll_pending_copy(self.traffic.now_ms());
         if let Some(copy) = self.copy.take()
-            && self.keeps_copy(&copy.worker)
+            && self.is_copy_usable(&copy.worker)
         {
             return Some((copy.worker, Some(copy.name)));
         }
-        if let Some(worker) = self.part().and_then(|part| self.traffic.place_of(part))
-            && !self.left.contains(&worker.upstream.id)
-            && self.is_fit(&worker)
+        if let Some(worker) =
+            self.own_prefix().and_then(|prefix| self.traffic.cache_location(prefix))
+            && !self.excluded.contains(&worker.upstream.id)
+            && self.is_eligible(&worker)
         {
             return Some((worker, None));
         }
         let constraints = Constraints {
             need: self.need(),
-            excluded: self.left.clone(),
-            avoided_domains: self.lost_domains(),
+            excluded: self.excluded.clone(),
+            avoided_domains: self.avoided_domains(),
             apart_from: None,
             preferred_domain: Some(Arc::clone(&self.traffic.settings.domain)),
         };
         let prompt = &self.job.demand.prompt_parts;
-        let chosen = self.traffic.choose_for(&self.job.service, &constraints, prompt);
+        let chosen = self.traffic.choose_for_prompt(&self.job.service, &constraints, prompt);
         chosen.map(|worker| (worker, None))
     }
 
-    /// Failure domains in which the run lost an engine a moment ago.
-    fn lost_domains(&self) -> Vec<Arc<str>> {
+    /// Failure domains in which the run recently lost an engine.
+    fn avoided_domains(&self) -> Vec<Arc<str>> {
         if !Mechanism::Avoid.is_on() {
             return Vec::new();
         }
         let now_ms = self.traffic.now_ms();
-        let recent = self.lost_domains.iter().filter(|(_, at_ms)| at_ms + AVOID_MS > now_ms);
+        let recent =
+            self.lost_domains.iter().filter(|(_, at_ms)| at_ms + DOMAIN_AVOIDANCE_MS > now_ms);
         recent.map(|(domain, _)| Arc::clone(domain)).collect()
     }
 
-    /// How long the route lets the stream be quiet.
-    fn patience(&self) -> SilenceTimeouts {
+    /// How long the route allows the stream to be silent.
+    fn silence_timeouts(&self) -> SilenceTimeouts {
         SilenceTimeouts::of(self.job.route.target_latency_ms, self.job.route.target_gap_ms)
     }
 
-    /// The prompt's last part, which is the request's own.
-    fn part(&self) -> Option<u64> {
-        self.job.demand.prompt_parts.last().map(|part| part.hash)
+    /// The hash of the prompt's last part, which is the request's own.
+    fn own_prefix(&self) -> Option<u64> {
+        self.job.demand.prompt_parts.last().map(|prefix| prefix.hash)
     }
 
     /// What the run needs of an engine.
@@ -402,65 +430,65 @@
         self.traffic.need(&self.job)
     }
 
-    /// Ends the run without a complete answer.
+    /// Ends the run without a complete response.
     fn give_up(&mut self, failure: Failure) {
         let failure = match failure {
             Failure::Full | Failure::NoUpstream | Failure::TooManyRepeats if self.may_have_run => {
                 Failure::Unknown
             }
-            Failure::TimeOver if self.arrived == 0 => Failure::TimeOverUnsent,
-            Failure::NoUpstream if self.traffic.throttled_ms(&self.job.service).is_some() => {
+            Failure::TimeOver if self.delivered == 0 => Failure::TimeOverUnsent,
+            Failure::NoUpstream if self.traffic.throttled_for_ms(&self.job.service).is_some() => {
                 Failure::Throttled
             }
             failure => failure,
         };
-        let after_ms = self.traffic.comes_back_ms(&self.job, &failure);
+        let after_ms = self.traffic.retry_after_ms(&self.job, &failure);
         let answer = self.traffic.refuse(&self.job, &failure, after_ms);
-        if let Some(body) = self.body.take() {
-            // Without its last chunk, the answer can't be taken for a complete one.
+        if let Some(body_tx) = self.body_tx.take() {
+            // Without the last chunk, the response can't be mistaken for a complete one.
             tokio::task::spawn_local(async move {
-                let _ = body.send(Err(Truncated)).await;
+                let _ = body_tx.send(Err(Truncated)).await;
             });
         }
-        self.answer(answer);
+        self.respond(answer);
     }
 
-    fn answer(&mut self, answer: Answer) {
-        if let Some(head) = self.head.take() {
-            // A caller that has left needs no answer.
-            let _ = head.send(answer);
+    fn respond(&mut self, answer: Answer) {
+        if let Some(response_tx) = self.response_tx.take() {
+            // A caller that has disconnected needs no response.
+            let _ = response_tx.send(answer);
         }
     }
 
-    /// Waits a moment; false if the caller has left or the time is over.
+    /// Waits. Returns false if the caller disconnects, or at once if the deadline comes first.
     async fn wait(&mut self, wait_ms: u64) -> bool {
         let now_ms = self.traffic.now_ms();
         if now_ms + wait_ms >= self.job.until_ms {
             return false;
         }
         tokio::select! {
-            () = caller_left(&mut self.head, &self.body) => false,
-            () = until(&self.traffic, now_ms + wait_ms) => true,
+            () = caller_disconnected(&mut self.response_tx, &self.body_tx) => false,
+            () = sleep_until(&self.traffic, now_ms + wait_ms) => true,
         }
     }
 }
 
-fn lost(why: impl Into<String>, loss: Loss) -> Outcome {
-    Outcome::Lost { why: why.into(), loss }
+fn lost_run(why: impl Into<String>, cause: LossCause) -> Outcome {
+    Outcome::Lost { why: why.into(), cause }
 }
 
-/// Ends when the caller has closed its connection.
-async fn caller_left(
-    head: &mut Option<oneshot::Sender<Answer>>,
-    body: &Option<mpsc::Sender<BodyChunk>>,
+/// Completes when the caller has closed its connection.
+async fn caller_disconnected(
+    response_tx: &mut Option<oneshot::Sender<Answer>>,
+    body_tx: &Option<mpsc::Sender<BodyChunk>>,
 ) {
-    match (head, body) {
-        (Some(head), _) => head.closed().await,
-        (None, Some(body)) => body.closed().await,
+    match (response_tx, body_tx) {
+        (Some(response_tx), _) => response_tx.closed().await,
+        (None, Some(body_tx)) => body_tx.closed().await,
         (None, None) => std::future::pending().await,
     }
 }
 
-async fn until(traffic: &Traffic, at_ms: u64) {
+async fn sleep_until(traffic: &Traffic, at_ms: u64) {
     traffic.clock.sleep_until(at_ms).await;
 }
--- a/src/gateway/traffic.rs
+++ b/src/gateway/traffic.rs
@@ -1,4 +1,4 @@
-//! What the traffic thread keeps: its upstreams, its budgets, its counters.
+//! State of the traffic thread: upstreams, retry budgets, latency statistics and metrics.
 
 mod budgets;
 mod endings;
@@ -7,8 +7,8 @@
 mod quarantine;
 mod signals;
 
-pub(super) use self::losses::{Life, OWN_LAG_MS};
-pub(super) use self::quarantine::JUDGED_MS;
+pub(super) use self::losses::{Liveness, MAX_TIMER_LAG_MS};
+pub(super) use self::quarantine::JUDGEMENT_WAIT_MS;
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -21,7 +21,7 @@
 use hyper::{Method, Request};
 use tokio::sync::watch;
 
-use self::places::Place;
+use self::places::CacheLocation;
 use super::ablation::Mechanism;
 use super::answer::{self, Answer};
 use super::channel::Fault;
@@ -48,63 +48,63 @@
 use crate::clock::Clock;
 use crate::log;
 
-/// The part of the answers that are no longer than what an engine's memory is reserved for: the few
-/// longer ones share what stays free there.
-const USUAL_OUTPUT: f64 = 0.9;
-/// Channels that each instance may keep beyond an even part, since load is never even.
+/// Percentile, as a fraction, of observed output lengths for which engine memory is reserved. The
+/// few longer outputs share the memory that stays free.
+const OUTPUT_TOKENS_PERCENTILE: f64 = 0.9;
+/// Channels per upstream that an instance may open beyond its even share, since load is never even.
 const CHANNEL_SLACK: u32 = 2;
 
-/// The state of the traffic thread.
+/// State of the traffic thread, which serves callers' requests.
 pub struct Traffic {
-    /// The settings.
     pub settings: Settings,
-    /// The wire.
+    /// The protocol spoken with callers and upstreams.
     pub dialect: Arc<dyn Dialect>,
-    /// What the control thread publishes.
+    /// What the control thread publishes to the traffic thread.
     pub shared: Arc<Shared>,
-    /// The clock.
     pub clock: Clock,
-    /// The log.
     pub log: slog::Logger,
-    /// Counters and histograms.
     pub metrics: Arc<Metrics>,
-    /// Requests whose answers are not complete.
-    pub open: Cell<usize>,
-    /// Callers' connections.
+    /// Requests whose response is not complete.
+    pub open_requests: Cell<usize>,
+    /// Open connections from callers.
     pub connections: Cell<usize>,
-    /// The planned stop that is under way.
+    /// The planned stop in progress, if any.
     pub stop: Cell<Option<Stop>>,
-    /// Whether usage is reported.
+    /// Whether started requests are reported to usage accounting.
     reports_usage: bool,
-    /// Set when a planned stop gives its last answers.
-    pub last_answers: watch::Sender<bool>,
-    /// A sum of what runs here, as it was at the last look.
-    told_load: Cell<u64>,
-    places: RefCell<BTreeMap<u64, Vec<Place>>>,
-    /// Tokens that streams made until they were complete, by service.
-    outputs: RefCell<BTreeMap<Arc<str>, Latencies>>,
+    /// Becomes true when a planned stop gives every unanswered request its final response.
+    pub final_responses_due: watch::Sender<bool>,
+    /// Sum of the runs and tokens at all upstreams as of the last sweep.
+    reported_load: Cell<u64>,
+    /// Engines that hold a prompt prefix, by the hash of the prefix.
+    cache_locations: RefCell<BTreeMap<u64, Vec<CacheLocation>>>,
+    /// Output tokens of complete streams, by service.
+    output_lengths: RefCell<BTreeMap<Arc<str>, Latencies>>,
     fleet: RefCell<Arc<Fleet>>,
-    /// Upstreams that said that they leave, as far as the workers know.
+    /// Upstreams known to be leaving, as last applied to `workers`.
     departures: RefCell<Departures>,
     workers: RefCell<BTreeMap<Arc<str>, Rc<Worker>>>,
-    budgets: RefCell<BTreeMap<Arc<str>, Budget>>,
-    /// Services whose engines were asked what they keep.
-    recalled: RefCell<BTreeSet<Arc<str>>>,
+    retry_budgets: RefCell<BTreeMap<Arc<str>, Budget>>,
+    /// Services whose engines have been queried for cached prompts since the start.
+    cache_queried: RefCell<BTreeSet<Arc<str>>>,
+    /// Liveness probes in progress, by upstream.
     probes: RefCell<BTreeMap<Arc<str>, losses::Probe>>,
+    /// Second probes in progress, with a longer timeout, by upstream.
     second_probes: RefCell<BTreeMap<Arc<str>, losses::Probe>>,
-    /// Upstreams of which it is being found out whether their processes have ended.
-    endings: RefCell<BTreeMap<Arc<str>, endings::Check>>,
-    /// When an upstream last broke off under a request.
-    crashed_ms: Cell<Option<u64>>,
+    /// Checks in progress whether an upstream's process has exited.
+    exit_checks: RefCell<BTreeMap<Arc<str>, endings::ExitCheck>>,
+    /// When an upstream last closed a connection during a request that may have crashed it.
+    last_crash_ms: Cell<Option<u64>>,
     losses: RefCell<Losses>,
     outages: RefCell<Outages>,
+    /// Durations of attempts on idempotent routes, by route.
     latencies: RefCell<BTreeMap<Arc<str>, Latencies>>,
-    /// Microseconds to the first event for each token of the prompt, by service.
-    first_events: RefCell<BTreeMap<Arc<str>, Latencies>>,
+    /// Microseconds from sending to the first event per prompt token, by service.
+    first_event_us_per_token: RefCell<BTreeMap<Arc<str>, Latencies>>,
 }
 
 impl Traffic {
-    /// A thread that has served nothing yet.
+    /// Creates the state of a thread that has served nothing yet.
     pub fn new(
         settings: Settings,
         dialect: Arc<dyn Dialect>,
@@ -122,45 +122,45 @@
             clock,
             log,
             metrics,
-            open: Cell::new(0),
+            open_requests: Cell::new(0),
             connections: Cell::new(0),
             stop: Cell::new(None),
-            last_answers: watch::Sender::new(false),
-            told_load: Cell::default(),
-            places: RefCell::default(),
-            outputs: RefCell::default(),
+            final_responses_due: watch::Sender::new(false),
+            reported_load: Cell::default(),
+            cache_locations: RefCell::default(),
+            output_lengths: RefCell::default(),
             fleet: RefCell::default(),
             departures: RefCell::default(),
             workers: RefCell::default(),
-            budgets: RefCell::default(),
-            recalled: RefCell::default(),
+            retry_budgets: RefCell::default(),
+            cache_queried: RefCell::default(),
             probes: RefCell::default(),
             second_probes: RefCell::default(),
-            endings: RefCell::default(),
-            crashed_ms: Cell::default(),
+            exit_checks: RefCell::default(),
+            last_crash_ms: Cell::default(),
             losses: RefCell::default(),
             outages: RefCell::default(),
             latencies: RefCell::default(),
-            first_events: RefCell::default(),
+            first_event_us_per_token: RefCell::default(),
         })
     }
 
-    /// Whether a request that was read is taken, also by an instance that stops.
-    pub fn takes(&self, job: &Job) -> bool {
+    /// Whether this instance accepts a request; during a planned stop it accepts only some.
+    pub fn accepts(&self, job: &Job) -> bool {
         let now_ms = self.now_ms();
         self.stop.get().is_none_or(|stop| stop.accepts(job.route.repeat, job.until_ms, now_ms))
     }
 
-    /// When the caller of a request should come back after a failure, where that follows from how
-    /// its service stands.
-    pub fn comes_back_ms(&self, job: &Job, failure: &Failure) -> Option<u64> {
+    /// How long the caller should wait before it retries after a failure, if the state of the
+    /// service determines that.
+    pub fn retry_after_ms(&self, job: &Job, failure: &Failure) -> Option<u64> {
         let left_ms = job.left_ms(self.now_ms());
         match failure {
-            Failure::Throttled => self.comes_back_to_throttled_ms(&job.service),
-            Failure::Full if self.throttled_ms(&job.service).is_some() => {
-                self.comes_back_to_throttled_ms(&job.service)
+            Failure::Throttled => self.throttled_retry_after_ms(&job.service),
+            Failure::Full if self.throttled_for_ms(&job.service).is_some() => {
+                self.throttled_retry_after_ms(&job.service)
             }
-            Failure::NoUpstream => self.retry_after_ms(&job.service, left_ms),
+            Failure::NoUpstream => self.outage_retry_after_ms(&job.service, left_ms),
             Failure::Quarantined { .. } | Failure::Poison { .. } => self.quarantine_left_ms(job),
             Failure::Full | Failure::TooManyRepeats if job.route.repeat.is_stream() => {
                 Some(outages::full_retry_after_ms(left_ms, &mut fastrand::Rng::new()))
@@ -169,8 +169,8 @@
         }
     }
 
-    /// Ends a request with a failure.
-    pub fn refuse(&self, job: &Job, failure: &Failure, after_ms: Option<u64>) -> Answer {
+    /// Logs and counts a failure, and returns the error response.
+    pub fn refuse(&self, job: &Job, failure: &Failure, retry_after_ms: Option<u64>) -> Answer {
         slog::warn!(self.log, "refused"; "request" => job.id(), "route" => &*job.route.name,
             "status" => failure.status(), "why" => %failure,
             "ms" => self.now_ms() - job.since_ms);
@@ -178,92 +178,97 @@
         if matches!(failure, Failure::Quarantined { .. } | Failure::Poison { .. }) {
             self.metrics.count("refused_quarantined");
         }
-        answer::failed(failure, after_ms)
+        answer::failed(failure, retry_after_ms)
     }
 
-    /// Notes that a request began to run at a time; each counts once, however often it is sent.
-    pub fn note_begun(&self, job: &Job, began_ms: u64) {
+    /// Records that a request started to run. A request counts once, however often it is sent.
+    pub fn note_run_start(&self, job: &Job, started_ms: u64) {
         let Some(organisation) = &job.organisation else { return };
         if self.reports_usage && !job.has_begun.replace(true) {
-            self.shared.note_begun(Arc::clone(organisation), began_ms);
+            self.shared.note_begun(Arc::clone(organisation), started_ms);
         }
     }
 
-    /// Notes how long an attempt at a repeatable route took, answered or not.
+    /// Records the duration of an attempt on an idempotent route, whether or not it was answered.
     pub fn note_latency(&self, job: &Job, value_ms: u64) {
         let mut latencies = self.latencies.borrow_mut();
         latencies.entry(Arc::clone(&job.route.name)).or_default().record(value_ms);
     }
 
-    /// Notes how long the first event of a prompt took to come, or was waited for in vain.
-    pub fn note_first_event(&self, job: &Job, waited_ms: u64) {
+    /// Records how long the first event took, or for how long it was awaited before the attempt was
+    /// abandoned.
+    pub fn note_first_event_wait(&self, job: &Job, waited_ms: u64) {
         let waited_us = waited_ms * 1_000;
         let Some(us_per_token) = waited_us.checked_div(job.demand.prompt_tokens) else { return };
-        let mut known = self.first_events.borrow_mut();
+        let mut known = self.first_event_us_per_token.borrow_mut();
         known.entry(Arc::clone(&job.service)).or_default().record(us_per_token);
     }
 
-    /// What a request needs of an engine. Callers name the most that they take, and most answers are
-    /// shorter, so what others made counts once enough is known.
+    /// Capacity that a request needs of an engine. Callers declare the most output tokens they
+    /// accept and most outputs are shorter, so the output lengths observed for the service apply
+    /// once there are enough of them.
     pub fn need(&self, job: &Job) -> Need {
         let Demand { prompt_tokens, output_tokens, .. } = job.demand;
-        let outputs = self.outputs.borrow();
-        let usual_tokens = outputs.get(&job.service).and_then(|made| made.quantile(USUAL_OUTPUT));
-        let output_tokens = usual_tokens.map_or(output_tokens, |usual| usual.min(output_tokens));
+        let lengths = self.output_lengths.borrow();
+        let typical_tokens = lengths
+            .get(&job.service)
+            .and_then(|observed| observed.quantile(OUTPUT_TOKENS_PERCENTILE));
+        let output_tokens =
+            typical_tokens.map_or(output_tokens, |typical| typical.min(output_tokens));
         Need { prompt_tokens, output_tokens }
     }
 
-    /// Notes how many events a stream had when it was complete.
-    pub fn note_output(&self, job: &Job, events: u64) {
+    /// Records the length of a complete stream.
+    pub fn note_output_length(&self, job: &Job, events: u64) {
         let view = self.shared.view.load();
         let service = view.config.as_ref().and_then(|all| all.services.get(&job.service));
         let engine = service.and_then(|service| service.engine.as_ref());
         let Some(event_tokens) = engine.and_then(|engine| engine.event_tokens) else { return };
-        let mut outputs = self.outputs.borrow_mut();
-        outputs.entry(Arc::clone(&job.service)).or_default().record(events * event_tokens);
+        let mut lengths = self.output_lengths.borrow_mut();
+        lengths.entry(Arc::clone(&job.service)).or_default().record(events * event_tokens);
     }
 
-    /// After which time the first event of a prompt is overdue, after so many attempts.
-    pub fn overdue_ms(&self, job: &Job, attempts: u32) -> u64 {
-        let mut known = self.first_events.borrow_mut();
+    /// How long after sending the first event is overdue, after `attempts` earlier attempts.
+    pub fn first_event_overdue_ms(&self, job: &Job, attempts: u32) -> u64 {
+        let mut known = self.first_event_us_per_token.borrow_mut();
         let known = known.entry(Arc::clone(&job.service)).or_default();
         let objective_ms = job.route.target_latency_ms;
         silence::overdue_ms(known, job.demand.prompt_tokens, objective_ms, attempts)
     }
 
-    /// How long a repeatable call may be silent before it is sent to a second upstream.
+    /// How long an idempotent call may go unanswered before it is also sent to a second upstream.
     pub fn hedge_after_ms(&self, job: &Job) -> Option<u64> {
         let mut latencies = self.latencies.borrow_mut();
         let known = latencies.entry(Arc::clone(&job.route.name)).or_default();
         hedge::delay_ms(known, job.route.target_latency_ms)
     }
 
-    /// Waits until a planned stop gives its last answers, which may be never.
-    pub async fn gives_last_answers(&self) {
-        let mut last_answers = self.last_answers.subscribe();
-        // The sender lives as long as this.
-        let _ = last_answers.wait_for(|is_now| *is_now).await;
+    /// Completes when a planned stop gives the final responses; never, if there is no stop.
+    pub async fn wait_for_final_responses(&self) {
+        let mut final_responses_due = self.final_responses_due.subscribe();
+        // Never fails, since `self` keeps the sender alive.
+        let _ = final_responses_due.wait_for(|is_now| *is_now).await;
     }
 
-    /// Milliseconds since the start.
+    /// Milliseconds since the process started.
     pub fn now_ms(&self) -> u64 {
         self.clock.now_ms()
     }
 
-    /// The newest picture; the upstreams follow it.
+    /// The current view. Changes of its upstreams are applied to the workers first.
     pub fn view(&self) -> Arc<View> {
         let view = self.shared.view.load_full();
         let is_fleet_new = !Arc::ptr_eq(&view.fleet, &self.fleet.borrow());
         if is_fleet_new {
-            self.follow(&view.fleet);
+            self.apply_fleet(&view.fleet);
         }
         if is_fleet_new || !view.departures.is_same_data(&self.departures.borrow()) {
-            self.follow_departures(&view.departures);
+            self.apply_departures(&view.departures);
         }
         view
     }
 
-    fn follow(&self, fleet: &Arc<Fleet>) {
+    fn apply_fleet(&self, fleet: &Arc<Fleet>) {
         let mut workers = self.workers.borrow_mut();
         workers.retain(|id, _| fleet.upstreams.contains_key(id));
         let now_ms = self.now_ms();
@@ -272,7 +277,7 @@
                 Some(known) if known.upstream.is_same_life(upstream) => known.relist(upstream),
                 known => {
                     if let Some(known) = known {
-                        self.retire(known);
+                        self.mark_restarted(known);
                     }
                     self.outages.borrow_mut().note_alive(&upstream.service, now_ms);
                     workers.insert(Arc::clone(id), Worker::new(upstream.clone(), now_ms));
@@ -288,33 +293,34 @@
         *self.fleet.borrow_mut() = Arc::clone(fleet);
     }
 
-    /// Leaves an incarnation that another one followed under the same id: nothing of what it held
-    /// is there any more.
-    fn retire(&self, worker: &Worker) {
-        slog::info!(self.log, "upstream born again"; "upstream" => &*worker.upstream.id);
+    /// Marks the former incarnation of a restarted upstream as lost: its runs, copies and cached
+    /// prompts no longer exist.
+    fn mark_restarted(&self, worker: &Worker) {
+        slog::info!(self.log, "upstream restarted"; "upstream" => &*worker.upstream.id);
         worker.replace();
         worker.lost(self.now_ms());
-        self.forget_places(|place| place.upstream == worker.upstream.id);
+        self.forget_cache_locations(|location| location.upstream == worker.upstream.id);
     }
 
-    /// The upstream with an id, if it is there.
+    /// The upstream with this id, if it is known.
     pub fn worker(&self, id: &str) -> Option<Rc<Worker>> {
         self.workers.borrow().get(id).map(Rc::clone)
     }
 
-    /// Whether an upstream may get work.
+    /// Whether an upstream may receive new requests.
     pub fn takes_work(&self, id: &str) -> bool {
         self.view();
         self.worker(id).is_some_and(|worker| worker.takes_work())
     }
 
-    /// The best upstream of a service for a request.
+    /// Chooses the best upstream of a service for a request.
     pub fn choose(&self, service: &str, constraints: &Constraints) -> Option<Rc<Worker>> {
-        self.choose_for(service, constraints, &[])
+        self.choose_for_prompt(service, constraints, &[])
     }
 
-    /// The best upstream of a service for a request with a prompt.
-    pub fn choose_for(
+    /// Chooses the best upstream of a service for a request with a prompt, taking into account
+    /// which engines have its prefixes cached.
+    pub fn choose_for_prompt(
         &self,
         service: &str,
         constraints: &Constraints,
@@ -323,43 +329,48 @@
         let view = self.view();
         let now_ms = self.now_ms();
         let workers = self.workers.borrow();
-        let fitting: Vec<&Rc<Worker>> = workers
+        let eligible: Vec<&Rc<Worker>> = workers
             .values()
             .filter(|worker| *worker.upstream.service == *service && worker.takes_work())
             .filter(|worker| !worker.is_throttled(now_ms))
             .collect();
-        self.hear_losses(&view, &workers, now_ms);
+        self.merge_peer_losses(&view, &workers, now_ms);
         let mut candidates: Vec<Candidate> =
-            fitting.iter().map(|worker| self.candidate(worker, &view, now_ms)).collect();
-        for (id, kept_tokens) in self.kept(prompt, &view) {
+            eligible.iter().map(|worker| self.candidate(worker, &view, now_ms)).collect();
+        for (id, cached_tokens) in self.cached_tokens(prompt, &view) {
             let known = candidates.iter_mut().find(|candidate| candidate.id == id);
             if let Some(candidate) = known {
-                candidate.load.kept_tokens = kept_tokens;
+                candidate.load.kept_tokens = cached_tokens;
             }
         }
-        let unseen = self.unseen(&view, service, constraints.need);
-        let index = placement::choose(&candidates, constraints, unseen, &mut fastrand::Rng::new());
+        let unreported_requests = self.unreported_requests(&view, service, constraints.need);
+        let index = placement::choose(
+            &candidates,
+            constraints,
+            unreported_requests,
+            &mut fastrand::Rng::new(),
+        );
         if index.is_none_or(|index| candidates[index].is_suspect) && view.large.contains(service) {
             self.shared.signal(Signal::NoUpstreamLeft);
         }
-        Some(Rc::clone(fitting[index?]))
+        Some(Rc::clone(eligible[index?]))
     }
 
-    /// How many channels this instance may have open to one upstream of a service.
+    /// How many channels this instance may open to one upstream of a service.
     pub fn channel_share(&self, service: &str) -> u32 {
         let view = self.shared.view.load();
         let all = view.config.as_ref().and_then(|config| config.services.get(service));
         let all = all.map_or(u32::MAX, |service| service.max_channels);
-        // One in ten stays free: others may know of more or fewer instances.
+        // One in ten stays unused: other instances may count more or fewer instances than this one.
         (all - all / 10) / view.holders(service).max(1) + CHANNEL_SLACK
     }
 
-    /// Makes a call of this system's own to an engine; its status and body.
+    /// Sends an engine a request of the gateway itself; returns the status and the body.
     ///
     /// # Errors
     ///
-    /// Any, if no whole answer came.
-    pub async fn ask(
+    /// Fails if no complete response arrives.
+    pub async fn call_engine(
         &self,
         worker: &Rc<Worker>,
         method: Method,
@@ -367,8 +378,8 @@
         body: Bytes,
     ) -> Result<(u16, Bytes), Fault> {
         let broken = |detail: String| Fault::Broken { detail };
-        let most = self.channel_share(&worker.upstream.service);
-        let mut lease = worker.lease(most, self.now_ms()).await?;
+        let max_channels = self.channel_share(&worker.upstream.service);
+        let mut lease = worker.lease(max_channels, self.now_ms()).await?;
         let request = Request::builder()
             .method(method)
             .uri(path)
@@ -384,31 +395,35 @@
         Ok((status, body))
     }
 
-    /// Has peers hear at once what runs here and what was lost.
-    pub fn tell_peers(&self) {
-        self.note_own();
+    /// Sends peers an update at once: the current load and lost upstreams.
+    pub fn notify_peers(&self) {
+        self.refresh_peer_update();
         self.shared.news.notify_one();
     }
 
-    /// Has peers hear of what has ended since the last look.
-    fn tell_what_ended(&self) {
+    /// Sends peers an update if the load changed since the last sweep.
+    fn notify_peers_if_changed(&self) {
         let tokens = |worker: &Worker| worker.pending_tokens.get() + worker.reserved_tokens.get();
         let load = |worker: &Worker| u64::from(worker.runs.get()) + tokens(worker);
         let load = self.workers.borrow().values().map(|worker| load(worker)).sum();
-        if self.told_load.replace(load) != load {
-            self.tell_peers();
+        if self.reported_load.replace(load) != load {
+            self.notify_peers();
         } else {
-            self.note_own();
+            self.refresh_peer_update();
         }
     }
 
-    /// Notes what runs here and what was lost, for the next message.
-    fn note_own(&self) {
+    /// Refreshes what the next update to peers contains: load, lost upstreams, cache locations and
+    /// retry counts.
+    fn refresh_peer_update(&self) {
         let mut own = LocalTraffic::default();
-        let places = self.places.borrow();
-        let placed = places.iter().flat_map(|(part, at)| at.iter().map(|at| (*part, at)));
-        own.cache_locations = placed.map(|(part, at)| (part, Arc::clone(&at.upstream))).collect();
-        for (service, budget) in self.budgets.borrow().iter() {
+        let locations = self.cache_locations.borrow();
+        let entries = locations
+            .iter()
+            .flat_map(|(prefix, engines)| engines.iter().map(|engine| (*prefix, engine)));
+        own.cache_locations =
+            entries.map(|(prefix, engine)| (prefix, Arc::clone(&engine.upstream))).collect();
+        for (service, budget) in self.retry_budgets.borrow().iter() {
             let (requests, repeats) = budget.counts();
             own.sent.push(SentRequests { service: Arc::clone(service), requests, repeats });
         }
@@ -429,37 +444,38 @@
         self.shared.set_own(own);
     }
 
-    /// What the engines of a service are doing, as far as known.
-    pub fn load_of(&self, service: &str) -> EngineActivity {
+    /// How many engines of a service accept work, and how many of them are processing prompts, as
+    /// far as known.
+    pub fn service_load(&self, service: &str) -> EngineActivity {
         let workers = self.workers.borrow();
         let now_ms = self.now_ms();
-        let takes = |worker: &&Rc<Worker>| {
+        let accepts_work = |worker: &&Rc<Worker>| {
             *worker.upstream.service == *service
                 && worker.takes_work()
-                && !self.is_doubtful(worker, now_ms)
+                && !self.is_suspected(worker, now_ms)
         };
-        let engines = || workers.values().filter(takes);
-        let reading = engines().filter(|worker| self.reading_at(worker) > 0);
+        let engines = || workers.values().filter(accepts_work);
+        let reading = engines().filter(|worker| self.prefills_at(worker) > 0);
         EngineActivity { engines: engines().count(), reading: reading.count() }
     }
 
-    /// How many prompts an engine is reading, as far as known.
-    pub fn reading_at(&self, worker: &Worker) -> u64 {
+    /// How many prompts of all instances an engine is processing (prefill), as far as known.
+    pub fn prefills_at(&self, worker: &Worker) -> u64 {
         let view = self.shared.view.load();
         let others = view.others.get(&worker.upstream.id).map_or(0, |held| held.reading);
         u64::from(worker.reading.get() + others)
     }
 
-    /// What is known of an upstream's load, for logs.
-    pub fn standing(&self, worker: &Worker) -> Candidate {
+    /// What is currently known of an upstream's load, for logs and for the placement of copies.
+    pub fn placement_state(&self, worker: &Worker) -> Candidate {
         self.candidate(worker, &self.shared.view.load(), self.now_ms())
     }
 
     fn candidate(&self, worker: &Worker, view: &View, now_ms: u64) -> Candidate {
         let others = view.others.get(&worker.upstream.id);
-        let told = worker.told_others(now_ms).filter(|_| Mechanism::ToldLoads.is_on());
-        let others_run = match told {
-            Some(told) => told,
+        let reported_runs = worker.told_others(now_ms).filter(|_| Mechanism::ToldLoads.is_on());
+        let others_run = match reported_runs {
+            Some(running) => running,
             None => others.map_or(0, |held| held.runs),
         };
         let copies = worker.copies.get() + others.map_or(0, |held| held.copies);
@@ -482,40 +498,40 @@
             domain: Arc::clone(&worker.upstream.domain),
             load,
             failure_rate: worker.failing(now_ms),
-            is_suspect: self.is_doubtful(worker, now_ms),
+            is_suspect: self.is_suspected(worker, now_ms),
         }
     }
 
-    /// Closes what was idle too long, and asks upstreams that others lost and that have work or
-    /// copies of ours.
+    /// Closes idle channels, removes expired cache locations, and probes suspected upstreams that
+    /// hold runs or copies of this instance.
     pub fn sweep(self: &Rc<Traffic>) {
         let view = self.view();
         let now_ms = self.now_ms();
-        self.forget_places(|place| place.until_ms <= now_ms);
+        self.forget_cache_locations(|location| location.until_ms <= now_ms);
         let workers: Vec<Rc<Worker>> = self.workers.borrow().values().map(Rc::clone).collect();
-        self.hear_losses(&view, &self.workers.borrow(), now_ms);
+        self.merge_peer_losses(&view, &self.workers.borrow(), now_ms);
         for worker in workers {
             worker.sweep(now_ms);
             self.outages.borrow_mut().note_alive(&worker.upstream.service, worker.alive_ms());
-            let is_asked = self.probes.borrow().contains_key(&worker.upstream.id);
-            let has_stake = worker.runs.get() + worker.copies.get() > 0;
-            let is_open = has_stake && !worker.is_lost(now_ms);
+            let is_probed = self.probes.borrow().contains_key(&worker.upstream.id);
+            let has_runs_or_copies = worker.runs.get() + worker.copies.get() > 0;
+            let is_at_risk = has_runs_or_copies && !worker.is_lost(now_ms);
             if Mechanism::Question.is_on()
-                && is_open
-                && !is_asked
-                && self.is_doubtful(&worker, now_ms)
+                && is_at_risk
+                && !is_probed
+                && self.is_suspected(&worker, now_ms)
             {
                 self.start_probe(&worker);
             }
         }
-        self.tell_what_ended();
-        self.note_gauges();
+        self.notify_peers_if_changed();
+        self.update_gauges();
     }
 
-    fn note_gauges(&self) {
+    fn update_gauges(&self) {
         let workers = self.workers.borrow();
         let sum = |count: fn(&Worker) -> u64| workers.values().map(|worker| count(worker)).sum();
-        self.metrics.gauge("open_requests", self.open.get() as u64);
+        self.metrics.gauge("open_requests", self.open_requests.get() as u64);
         self.metrics.gauge("connections", self.connections.get() as u64);
         self.metrics.gauge("channels", sum(Worker::channels));
         self.metrics.gauge("runs", sum(|worker| u64::from(worker.runs.get())));
@@ -526,8 +542,8 @@
         let leaving = |worker: &Worker| u64::from(worker.has_said_leaving());
         self.metrics.gauge("upstreams_leaving_by_answer", sum(leaving));
         let now_ms = self.now_ms();
-        let resting = workers.values().filter(|worker| worker.is_backing_off(now_ms)).count();
-        self.metrics.gauge("upstreams_backing_off", resting as u64);
+        let backing_off = workers.values().filter(|worker| worker.is_backing_off(now_ms)).count();
+        self.metrics.gauge("upstreams_backing_off", backing_off as u64);
         self.metrics.gauge("log_records_left_out", log::left_out());
     }
 }
--- a/tests/gateway/silence.rs
+++ b/tests/gateway/silence.rs
@@ -77,7 +77,7 @@
     assert!(stream.is_complete);
     assert_eq!(stream.text, whole_text(&sent, 0));
     let logged = running.gateways[0].logged();
-    assert!(logged.contains("engine put the run out of memory"));
+    assert!(logged.contains("engine preempted the run"));
     let pause = logged.split("\"pause_ms\":").nth(1).and_then(|rest| rest.split([',', '}']).next());
     let pause_ms: u64 = pause.and_then(|pause| pause.parse().ok()).expect("the run resumed");
     assert!(pause_ms < 600, "{pause_ms}");
@@ -97,7 +97,7 @@
     assert!(stream.is_complete);
     assert_eq!(stream.text, whole_text(&sent, 0));
     assert_eq!(running.site.engines[0].seen().len(), 1, "sent only once");
-    assert!(running.gateways[0].logged().contains("engine asked once more whether it lives"));
+    assert!(running.gateways[0].logged().contains("second liveness probe completed"));
 }
 
 /// Guards against truncated answers when the engine of an answer is lost and all others are full
@@ -185,7 +185,7 @@
     engines.iter().for_each(|engine| engine.fail(Fault::Stuck));
     wait_for("runs have left their engines", async || {
         let logged = running.gateways[0].logged();
-        logged.matches("the run goes on elsewhere").count() >= MOVES
+        logged.matches("run handed over").count() >= MOVES
     })
     .await;
     engines.iter().for_each(|engine| engine.fail(Fault::None));
@@ -302,7 +302,7 @@
     let stream = reading.await.unwrap().unwrap();
     assert!(stream.is_complete);
     assert_eq!(stream.text, whole_text(&sent, 0));
-    assert!(running.gateways[0].logged().contains("upstream born again"));
+    assert!(running.gateways[0].logged().contains("upstream restarted"));
 }
 
 fn list_with_start_time(site: &Site, index: usize, started_ms: u64) {
