--- a/src/gateway/control/duties.rs
+++ b/src/gateway/control/duties.rs
@@ -23,7 +23,7 @@
 const CHECK_INTERVAL_MS: u64 = 200;
 /// How often an instance sends its usage counts.
 const SEND_INTERVAL_MS: u64 = 500;
-/// How often an instance without usage sends a message: its clock is still used to estimate the true time.
+/// How often an instance without usage sends a message: its clock is still used to estimate cluster time.
 const MAX_SEND_INTERVAL_MS: u64 = 4_000;
 /// The pause after a first failed call; doubled with each further failure up to the maximum.
 const MIN_RETRY_MS: u64 = 300;
--- a/src/gateway/control/shares.rs
+++ b/src/gateway/control/shares.rs
@@ -21,13 +21,14 @@
 /// its share too narrow, or itself one of those that hold all upstreams, and all instances would fetch at
 /// once.
 const MEMBERSHIP_KNOWN_MS: u64 = 5_000;
-/// How long an instance's rank must not require it to hold all upstreams before it narrows its share: ranks
-/// change while many instances start or stop.
+/// How long an instance waits before it narrows its share, once its rank no longer makes it hold all upstreams
+/// but is still close to those that do: ranks change while many instances start or stop.
 const NARROW_DELAY_MS: u64 = 5_000;
 
 impl Control {
-    /// Adopts the set of large services from an instance that holds all upstreams: narrows services that became
-    /// large to this instance's share, and requests a fetch for those that no longer are.
+    /// Adopts the set of large services from an instance that holds all upstreams. If this instance holds only a
+    /// share, it drops the upstreams outside that share of services that became large. If a service is no longer
+    /// large, it requests a fetch, because it lacks some of that service's upstreams.
     pub(super) fn adopt_large_services(&self, state: &mut ControlState, reported: &UpstreamSubset) {
         if state.held_part.large == reported.large {
             return;
@@ -120,8 +121,9 @@
         }
     }
 
-    /// Publishes an upstream that this instance doesn't hold for a short time. No peer sends changes of this
-    /// upstream, so it is dropped before a change of it must be in force.
+    /// Publishes, for [`TEMPORARY_UPSTREAM_TTL_MS`], an upstream that this instance doesn't hold. The time is
+    /// short because no peer sends this instance changes of that upstream: it is dropped before a change of it
+    /// must be in force.
     pub(super) fn add_temporary_upstream(&self, upstream: Upstream) {
         let until_ms = self.clock.now_ms() + TEMPORARY_UPSTREAM_TTL_MS;
         let mut state = self.state.borrow_mut();
--- a/src/gateway/loads/peer_loads.rs
+++ b/src/gateway/loads/peer_loads.rs
@@ -27,17 +27,25 @@
 #[derive(Debug)]
 struct Peer {
     incarnation: u64,
+    /// Sequence number of its last update.
     sequence: u64,
+    /// Its load, by upstream id; an empty load has no entry.
     loads: BTreeMap<Arc<str>, UpstreamLoad>,
+    /// The requests it sent within the window, by service.
     sent: Vec<SentRequests>,
+    /// When its last update was received.
     received_ms: u64,
 }
 
 /// Another failure domain.
 #[derive(Debug, Default)]
 struct RemoteDomain {
+    /// The load of its instances and when it was last received, by upstream id; an empty load has no
+    /// entry.
     loads: BTreeMap<Arc<str>, (UpstreamLoad, u64)>,
+    /// The requests its instances sent within the window, by service.
     sent: Vec<SentRequests>,
+    /// When its last digest was received.
     received_ms: u64,
 }
 
@@ -51,20 +59,32 @@
 /// The traffic of the other instances, as far as it is known.
 #[derive(Debug)]
 pub struct PeerLoads {
+    /// The failure domain of this instance.
     domain: Arc<str>,
     /// Window of the retry budget, in which sent requests count.
     window_ms: u64,
+    /// The other instances of this failure domain, by instance id.
     peers: BTreeMap<Arc<str>, Peer>,
+    /// The sum of the loads of `peers`, by upstream id.
     domain_total: BTreeMap<Arc<str>, UpstreamLoad>,
+    /// The other failure domains, by name.
     remote_domains: BTreeMap<Arc<str>, RemoteDomain>,
+    /// The sum of the loads of `peers` and `remote_domains`, by upstream id.
     total: Arc<BTreeMap<Arc<str>, UpstreamLoad>>,
+    /// This instance's own load, by upstream id.
     own_loads: BTreeMap<Arc<str>, UpstreamLoad>,
+    /// When the load of this failure domain last changed, by upstream id; digests repeat these loads
+    /// for [`CHANGE_REPEAT_MS`].
     changed_at_ms: BTreeMap<Arc<str>, u64>,
+    /// The requests sent by instances that this instance itself saw end, one entry for each.
     ended: Vec<EndedRequests>,
     /// What peers reported about ended instances; an instance that has just started has seen none of
     /// them end.
     reported_ended: Option<EndedRequests>,
+    /// The engines that read prompt prefixes, as other instances reported.
     cache_locations: CacheLocations,
+    /// The cache locations that this failure domain reported recently, which digests repeat for
+    /// [`CHANGE_REPEAT_MS`]: hash of the prefix, upstream id, and when this instance recorded it.
     recent_cache_locations: Vec<(u64, Arc<str>, u64)>,
 }
 
@@ -225,7 +245,8 @@
         load
     }
 
-    /// Applies the digest of another failure domain. Returns `false` if it is of this instance's own.
+    /// Applies the digest of another failure domain. Ignores a digest of this instance's own failure
+    /// domain and returns `false`.
     pub fn apply_digest(&mut self, digest: Digest, now_ms: u64) -> bool {
         if digest.domain == self.domain {
             return false;
@@ -301,7 +322,8 @@
         seen.into_values().collect()
     }
 
-    /// The same as this instance saw it itself, which is what it reports to its peers.
+    /// The requests sent within the window by other instances of this failure domain that this
+    /// instance itself saw end, one total for each service. It reports these to its peers.
     pub fn observed_ended(&self, now_ms: u64) -> Vec<SentRequests> {
         let ended = self.ended.iter().filter(|ended| ended.received_ms + self.window_ms > now_ms);
         total_by_service(ended.flat_map(|ended| &ended.sent)).into_values().collect()
--- a/src/gateway/membership/descriptor.rs
+++ b/src/gateway/membership/descriptor.rs
@@ -29,7 +29,7 @@
 pub struct Versions {
     /// Version of the configuration in force.
     pub config: u64,
-    /// Revision of the list of upstreams.
+    /// Revision of the directory's list of upstreams.
     pub fleet: u64,
 }
 
--- a/src/gateway/policy/admission.rs
+++ b/src/gateway/policy/admission.rs
@@ -3,9 +3,9 @@
 //!
 //! While an engine reads a prompt, the runs on it produce events seven times more slowly. When 75
 //! instances are lost at once, two hundred callers return whose allowed pause is already over, and
-//! many of their prompts have to be read again. Sending these requests at once, with copies, left
-//! 1,194 of 1,788 streams of the test day on time; postponing them, without copies, left 1,249, and
-//! the number of streams served was the same.
+//! many of their prompts have to be read again. When these requests were sent at once, with copies,
+//! 1,194 of 1,788 streams of the test day were on time. When they were postponed, without copies,
+//! 1,249 were on time, and the number of streams served was the same.
 
 /// Upper bound on the random delay before a late request checks the load, and between two checks.
 /// The delay lets requests that arrived together with it go first, and gives reports of what other
