--- a/src/gateway/control.rs
+++ b/src/gateway/control.rs
@@ -88,7 +88,7 @@
     watching_peers: usize,
     /// Upstreams that any instance recently lost, with the time until which each loss is remembered.
     lost: BTreeMap<Arc<str>, u64>,
-    /// The instances that accept callers.
+    /// The instances that callers are sent to.
     fronts: Arc<Vec<Front>>,
     /// The phase of this instance when `fronts` was computed.
     fronts_phase: Phase,
@@ -132,7 +132,8 @@
     held_part: UpstreamSubset,
     /// Whether a peer had more changes of that part than fit into a message.
     has_missed_changes: bool,
-    /// The share of the large services to fetch, if it differs from the share held.
+    /// The share of the large services to fetch, if a fetch of it is due: also the share held, once a service
+    /// is no longer large.
     wanted_share: Option<Share>,
     /// Until when this instance does not narrow its share, after it ran out of upstreams.
     widened_until_ms: u64,
@@ -462,7 +463,7 @@
         Arc::new(Fleet::of(state.fleet.revision, upstreams))
     }
 
-    /// Applies membership changes: drops the load of dead peers, and updates which instances accept callers.
+    /// Applies membership changes: drops the load of dead peers, and updates where callers are sent.
     fn apply_member_changes(&self, state: &mut ControlState) {
         let now_ms = self.clock.now_ms();
         let changed = state.membership.take_changed();
@@ -484,7 +485,7 @@
         self.update_fronts(state);
     }
 
-    /// Computes which instances accept callers, and which peers receive this instance's load updates.
+    /// Computes which instances callers are sent to, and which peers receive this instance's load updates.
     fn update_fronts(&self, state: &mut ControlState) {
         let me = state.membership.own_descriptor();
         let ready = state.membership.alive().filter(|member| member.state == MemberState::Alive);
--- a/src/gateway/control/directory.rs
+++ b/src/gateway/control/directory.rs
@@ -28,9 +28,9 @@
 /// configuration and the upstream list within a few round trips.
 const MIN_SEED_PHASE_MS: u64 = 400;
 /// The first pause between two requests to seeds, doubled each time.
-const MIN_SEED_PAUSE_MS: u64 = 20;
-/// The pause after which a seed is asked for the last time.
-const MAX_SEED_PAUSE_MS: u64 = 160;
+const FIRST_SEED_PAUSE_MS: u64 = 20;
+/// Seeds are no longer asked once the pause exceeds this.
+const LAST_SEED_PAUSE_MS: u64 = 160;
 /// The random spread that is added to the time for asking seeds, so that starting instances without an
 /// answer do not all call the directory at once.
 const SEED_PHASE_JITTER_MS: u64 = 600;
@@ -199,9 +199,9 @@
         }
         let seeds: Vec<SocketAddr> = self.settings.seeds.clone();
         let until_ms = MIN_SEED_PHASE_MS + fastrand::u64(..SEED_PHASE_JITTER_MS);
-        let mut pause_ms = MIN_SEED_PAUSE_MS;
+        let mut pause_ms = FIRST_SEED_PAUSE_MS;
         while self.clock.now_ms() < until_ms && !self.state.borrow().has_fleet {
-            if pause_ms <= MAX_SEED_PAUSE_MS {
+            if pause_ms <= LAST_SEED_PAUSE_MS {
                 let seed = seeds[fastrand::usize(..seeds.len())];
                 if self.fetch_config(seed).await {
                     self.fetch_list(seed).await;
--- a/src/gateway/control/fetch.rs
+++ b/src/gateway/control/fetch.rs
@@ -37,10 +37,10 @@
 const MAX_FETCH_FAILURES: u32 = 4;
 /// The pause after a failed request: the peer may have been busy with others.
 const FETCH_FAILURE_PAUSE_MS: u64 = 20;
-/// The minimum pause after a fetch that was given up.
+/// The minimum pause after a fetch that failed or brought nothing new.
 const MIN_FETCH_RETRY_MS: u64 = 100;
-/// How long after its start an instance without a list asks those that should hold it by their rank, if no
-/// peer reported to hold it.
+/// How long after its start an instance without a list begins to ask those that should hold it by their rank,
+/// if no holder has been reported to it.
 const LIST_HOLDER_REPORT_TIMEOUT_MS: u64 = 3_000;
 /// How many reported holders of the full list are remembered.
 const MAX_REPORTED_HOLDERS: usize = 8;
@@ -285,7 +285,7 @@
 
     /// The peer to fetch the list from, if this instance has none, needs another share, missed changes, or
     /// knows of a newer list. Changes of a part are pushed, so an instance that holds only a part doesn't
-    /// fetch a list for being newer.
+    /// fetch a list only because it is newer.
     fn list_source(&self, state: &ControlState, now_ms: u64) -> Option<SocketAddr> {
         if state.is_fetching_list || now_ms < state.next_list_fetch_ms {
             return None;
@@ -395,7 +395,8 @@
     }
 }
 
-/// The pause after a failed fetch, randomized so that instances that wait for the same data spread out.
+/// The pause after a fetch that failed or brought nothing new, randomized so that instances that wait for the
+/// same data spread out.
 fn retry_pause_ms() -> u64 {
     fastrand::u64(MIN_FETCH_RETRY_MS..2 * MIN_FETCH_RETRY_MS)
 }
--- a/src/gateway/control/permits.rs
+++ b/src/gateway/control/permits.rs
@@ -10,8 +10,8 @@
 use super::super::view::PermitRequest;
 use super::{Control, ControlState};
 
-/// How long an instance that fell silent is assumed to be possibly alive beyond a network partition, where
-/// another owner grants permits for the same rate limit.
+/// How long an instance that fell silent counts as possibly alive beyond a network partition, where another
+/// owner may grant permits for the same rate limit.
 const SILENT_MAYBE_ALIVE_MS: u64 = 10_000;
 
 impl Control {
