--- a/src/gateway/control/changes.rs
+++ b/src/gateway/control/changes.rs
@@ -107,8 +107,8 @@
     /// The changes since a revision for each peer that holds only a part of the list, if this instance is one
     /// of those that push them.
     fn part_changes_since(&self, state: &ControlState, since: u64) -> Vec<(SocketAddr, Changes)> {
-        let is_pusher =
-            Control::has_working_watch(state) && self.turn_of(state).ahead < SHARE_PUSHERS;
+        let is_pusher = Control::has_working_watch(state)
+            && self.watch_position_of(state).ahead < SHARE_PUSHERS;
         if !is_pusher || state.held_part.large.is_empty() {
             return Vec::new();
         }
--- a/src/gateway/control/directory.rs
+++ b/src/gateway/control/directory.rs
@@ -51,7 +51,7 @@
         let mut is_history_gone = false;
         self.fetch_from_seeds().await;
         loop {
-            self.wait_for_turn().await;
+            self.wait_until_watcher().await;
             if let Some(revision) = self.revision_from_peers().filter(|_| !is_history_gone) {
                 slog::info!(self.log, "watching the directory from the revision that peers sent";
                     "revision" => revision);
@@ -94,14 +94,14 @@
         // The first call returns at once, so that peers soon learn that this instance has a working watch.
         let mut is_check = true;
         loop {
-            let turn = self.turn();
-            if !turn.is_watcher() {
+            let position = self.watch_position();
+            if !position.is_watcher() {
                 self.state.borrow_mut().is_watching = false;
                 slog::info!(self.log, "stopped watching the directory; other instances watch it";
                     "revision" => revision);
                 return true;
             }
-            let wait_ms = if is_check { CHECK_WATCH_WAIT_MS } else { turn.wait_ms() };
+            let wait_ms = if is_check { CHECK_WATCH_WAIT_MS } else { position.wait_ms() };
             let watched = tokio::select! {
                 watched = self.directory.watch(revision, wait_ms) => watched,
                 () = self.directory_check.notified(), if !is_check => {
@@ -123,7 +123,7 @@
                     let has_any = !changes.records.is_empty() || !changes.removed.is_empty();
                     self.apply_changes(changes);
                     if has_any {
-                        tokio::time::sleep(Duration::from_millis(turn.batch_delay_ms())).await;
+                        tokio::time::sleep(Duration::from_millis(position.batch_delay_ms())).await;
                     }
                 }
                 Err(fault @ Fault::HistoryGone) => {
@@ -141,11 +141,11 @@
     }
 
     /// This instance's position among those that have a working directory watch.
-    fn turn(&self) -> WatchPosition {
-        self.turn_of(&self.state.borrow())
+    fn watch_position(&self) -> WatchPosition {
+        self.watch_position_of(&self.state.borrow())
     }
 
-    pub(super) fn turn_of(&self, state: &ControlState) -> WatchPosition {
+    pub(super) fn watch_position_of(&self, state: &ControlState) -> WatchPosition {
         let watching_peers =
             state.membership.alive().filter(|member| member.descriptor.is_watching_directory);
         WatchPosition::of(
@@ -161,7 +161,7 @@
 
     fn should_watch(&self) -> bool {
         let now_ms = self.clock.now_ms();
-        let turn = self.turn();
+        let position = self.watch_position();
         let state = self.state.borrow();
         let before_me = state.membership.ranked_before_self();
         if !state.has_fleet {
@@ -175,8 +175,8 @@
             return now_ms >= since_ms
                 && watchers::may_call_directory(before_me, now_ms - since_ms);
         }
-        let is_settling = turn.others == 0 && now_ms < WATCHERS_KNOWN_MS;
-        if is_settling || !turn.is_watcher() {
+        let is_settling = position.others == 0 && now_ms < WATCHERS_KNOWN_MS;
+        if is_settling || !position.is_watcher() {
             return false;
         }
         let too_few_ms = state.too_few_watchers_since_ms.map_or(0, |since_ms| now_ms - since_ms);
@@ -213,7 +213,7 @@
     }
 
     /// Waits until this instance should watch the directory itself.
-    pub(super) async fn wait_for_turn(&self) {
+    pub(super) async fn wait_until_watcher(&self) {
         while !self.should_watch() {
             tokio::time::sleep(Duration::from_millis(WATCH_CHECK_INTERVAL_MS)).await;
         }
--- a/src/gateway/control/duties.rs
+++ b/src/gateway/control/duties.rs
@@ -135,7 +135,7 @@
         };
         match action {
             None => Ok(()),
-            Some(Action::Acquire { nonce }) => self.take_lease(duties, nonce).await,
+            Some(Action::Acquire { nonce }) => self.acquire_lease(duties, nonce).await,
             Some(Action::ReadBack) => {
                 let holder = duties.holder().await?;
                 let now_ms = self.clock.now_ms();
@@ -160,17 +160,17 @@
         }
     }
 
-    async fn take_lease(&self, duties: &dyn DutyCalls, nonce: u64) -> Result<(), Fault> {
+    async fn acquire_lease(&self, duties: &dyn DutyCalls, nonce: u64) -> Result<(), Fault> {
         let requested_ms = self.clock.now_ms();
         let ttl_ms = self.state.borrow().duty_lease.ttl_ms();
         let lease = duties.grant(ttl_ms).await?;
-        let taken = AcquireAttempt { nonce, lease, requested_ms };
+        let attempt = AcquireAttempt { nonce, lease, requested_ms };
         let written = duties.acquire(&self.me.id, nonce, lease).await;
         let now_ms = self.clock.now_ms();
         let mut state = self.state.borrow_mut();
         match written {
             Ok(CreateOutcome::Created(token)) => {
-                state.duty_lease.note_acquired(taken, token);
+                state.duty_lease.note_acquired(attempt, token);
                 slog::info!(self.log, "duties taken over"; "token" => token);
                 self.metrics.count("duties_taken");
                 Ok(())
@@ -182,7 +182,7 @@
             }
             Err(fault @ Fault::Refused { .. }) => Err(fault),
             Err(fault) => {
-                state.duty_lease.note_outcome_unknown(taken);
+                state.duty_lease.note_outcome_unknown(attempt);
                 Err(fault)
             }
         }
@@ -301,18 +301,19 @@
             let mut workers: BTreeMap<(Arc<str>, bool), WorkerCounts> = BTreeMap::new();
             for upstream in of_service() {
                 let key = (Arc::clone(&upstream.domain), upstream.is_spot);
-                let seen = workers.entry(key).or_default();
-                let counted = if upstream.is_leaving { &mut seen.leaving } else { &mut seen.ready };
+                let counts = workers.entry(key).or_default();
+                let counted =
+                    if upstream.is_leaving { &mut counts.leaving } else { &mut counts.ready };
                 *counted += 1;
             }
-            let held = state.loads.by_upstream();
-            let others = of_service().filter_map(|upstream| held.get(&upstream.id));
-            let is_of_service = |held: &&UpstreamLoad| {
-                let upstream = state.fleet.upstreams.get(&held.upstream);
+            let loads = state.loads.by_upstream();
+            let others = of_service().filter_map(|upstream| loads.get(&upstream.id));
+            let is_of_service = |load: &&UpstreamLoad| {
+                let upstream = state.fleet.upstreams.get(&load.upstream);
                 upstream.is_some_and(|upstream| upstream.service == *name)
             };
             let all = others.chain(own.loads.iter().filter(is_of_service));
-            let tokens: u64 = all.map(|held| held.reserved_tokens).sum();
+            let tokens: u64 = all.map(|load| load.reserved_tokens).sum();
             let demand_workers = tokens as f64 / memory_tokens as f64;
             let service_state =
                 ServiceState { service: name, policy, workers: &workers, demand_workers };
--- a/src/gateway/control/exchange.rs
+++ b/src/gateway/control/exchange.rs
@@ -323,7 +323,7 @@
                 }
                 Rumor::Lost(id) => self.record_lost(&mut self.state.borrow_mut(), id, now_ms),
                 Rumor::Rediscovered(upstream) => self.add_rediscovered(upstream),
-                Rumor::Ended(end) => self.handle_end_report(end, now_ms),
+                Rumor::Ended(crash) => self.handle_early_crash(crash, now_ms),
                 Rumor::Crashes(record) => self.handle_crash_record(record),
             }
         }
@@ -358,7 +358,7 @@
 
     fn handle_digest(&self, digest: Digest, now_ms: u64) {
         let mut state = self.state.borrow_mut();
-        let passed_on =
+        let forwarded =
             digest.must_forward.then(|| Digest { must_forward: false, ..digest.clone() });
         if !state.loads.apply_digest(digest, now_ms) {
             return;
@@ -366,7 +366,7 @@
         let routing_peers = state.routing_peers.clone();
         drop(state);
         self.dirty.notify_one();
-        if let Some(digest) = passed_on {
+        if let Some(digest) = forwarded {
             self.send(&Message::Digest(digest), &routing_peers);
         }
     }
--- a/src/gateway/control/quarantine.rs
+++ b/src/gateway/control/quarantine.rs
@@ -31,28 +31,28 @@
             for report in self.shared.take_reports() {
                 self.handle_report(report);
             }
-            self.gossip_ends();
+            self.gossip_early_crashes();
             self.judge_crashes();
             self.publish_quarantine_changes();
         }
     }
 
     /// Gossips which upstreams ended under runs that had just begun.
-    fn gossip_ends(&self) {
+    fn gossip_early_crashes(&self) {
         let mut state = self.state.borrow_mut();
-        for end in state.quarantine.take_early_crashes() {
-            state.membership.spread(Rumor::Ended(end));
+        for crash in state.quarantine.take_early_crashes() {
+            state.membership.spread(Rumor::Ended(crash));
         }
         drop(state);
         self.rumors.notify_one();
     }
 
-    /// Records such an end reported by a peer, and gossips it further if it was not known.
-    pub(super) fn handle_end_report(&self, end: EarlyCrash, now_ms: u64) {
+    /// Records an early crash reported by a peer, and gossips it further if it was not known.
+    pub(super) fn handle_early_crash(&self, crash: EarlyCrash, now_ms: u64) {
         let mut state = self.state.borrow_mut();
-        let Some(upstream) = state.fleet.upstreams.get(&end.upstream).cloned() else { return };
-        if state.quarantine.note_early_crash(&upstream, end.fingerprint, now_ms) {
-            state.membership.spread(Rumor::Ended(end));
+        let Some(upstream) = state.fleet.upstreams.get(&crash.upstream).cloned() else { return };
+        if state.quarantine.note_early_crash(&upstream, crash.fingerprint, now_ms) {
+            state.membership.spread(Rumor::Ended(crash));
             drop(state);
             self.rumors.notify_one();
         }
--- a/src/gateway/control/rediscovery.rs
+++ b/src/gateway/control/rediscovery.rs
@@ -100,8 +100,8 @@
             request.body(Full::<Bytes>::default()).ok()
         };
         let response = channel.send(get_request(self.dialect.state_path())?).await.ok()?;
-        let response = response.into_body().collect().await.ok()?.to_bytes();
-        let models = self.dialect.engine_state(&response)?.models;
+        let body = response.into_body().collect().await.ok()?.to_bytes();
+        let models = self.dialect.engine_state(&body)?.models;
         if models.is_empty() || models.iter().any(|model| !engine.models.contains(model)) {
             return None;
         }
