--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -138,7 +138,7 @@
     body_tx: Option<mpsc::Sender<BodyChunk>>,
     /// The id of the last event that the caller has.
     last_event: Option<u64>,
-    /// When the latest event arrived; before the first one, when the run started.
+    /// When the latest event arrived; before the first one, when this run was created.
     last_event_ms: u64,
     /// How long after the request the first event arrived.
     first_event_ms: Option<u64>,
--- a/src/gateway/traffic.rs
+++ b/src/gateway/traffic.rs
@@ -74,14 +74,14 @@
     reports_usage: bool,
     /// Becomes true when a planned stop gives every unanswered request its final response.
     pub final_responses_due: watch::Sender<bool>,
-    /// Sum of the runs and tokens at all upstreams as of the last sweep.
+    /// Sum of this instance's runs and tokens at all upstreams as of the last sweep.
     reported_load: Cell<u64>,
-    /// Engines that hold a prompt prefix, by the hash of the prefix.
+    /// Engines that hold a prompt prefix, by the hash of the prefix's last part.
     cache_locations: RefCell<BTreeMap<u64, Vec<CacheLocation>>>,
     /// Output tokens of complete streams, by service.
     output_lengths: RefCell<BTreeMap<Arc<str>, Latencies>>,
     fleet: RefCell<Arc<Fleet>>,
-    /// Upstreams known to be leaving, as last applied to `workers`.
+    /// Upstreams that announced that they are leaving, as last applied to `workers`.
     departures: RefCell<Departures>,
     workers: RefCell<BTreeMap<Arc<str>, Rc<Worker>>>,
     retry_budgets: RefCell<BTreeMap<Arc<str>, Budget>>,
@@ -502,8 +502,8 @@
         }
     }
 
-    /// Closes idle channels, removes expired cache locations, and probes suspected upstreams that
-    /// hold runs or copies of this instance.
+    /// Closes channels that were idle too long, removes expired cache locations, and probes
+    /// suspected upstreams that hold runs or copies of this instance.
     pub fn sweep(self: &Rc<Traffic>) {
         let view = self.view();
         let now_ms = self.now_ms();
--- a/src/gateway/traffic/losses.rs
+++ b/src/gateway/traffic/losses.rs
@@ -208,7 +208,7 @@
     }
 
     /// Marks an upstream as replaced because another incarnation has its address. However long the
-    /// directory still lists it, it receives nothing more and peers are told that it is lost.
+    /// directory still lists it, it receives nothing more and is reported to peers as lost.
     pub fn mark_replaced(&self, worker: &Worker) {
         worker.replace();
         self.mark_lost(worker, "another upstream has its address");
--- a/src/gateway/traffic/places.rs
+++ b/src/gateway/traffic/places.rs
@@ -100,7 +100,7 @@
     }
 
     /// The engines that hold a prompt prefix: those that peers reported, then those recorded here,
-    /// each in the order of the records.
+    /// each with the most recent one last.
     fn cache_locations_of(&self, prefix: u64, view: &View) -> Vec<Arc<str>> {
         let mut engines: Vec<Arc<str>> = view.places.engines_of(prefix).cloned().collect();
         if let Some(own) = self.cache_locations.borrow().get(&prefix) {
@@ -110,8 +110,8 @@
     }
 
     /// How many tokens of a prompt each engine has cached, as far as known. A part of the prompt
-    /// counts only if those before it are cached at the same engine; parts too small to be reported
-    /// are skipped.
+    /// counts only at engines that also hold the first part with a known location; parts too small
+    /// to be reported are skipped.
     pub(super) fn cached_tokens(
         &self,
         prompt: &[PromptPart],
--- a/src/gateway/traffic/quarantine.rs
+++ b/src/gateway/traffic/quarantine.rs
@@ -90,7 +90,7 @@
     }
 
     /// Reports that a request was served, completely or up to an event, if crashes count against it
-    /// or await judgement.
+    /// or any crash during a request of this instance may still await judgement.
     pub fn note_served(&self, job: &Job, event: Option<u64>) {
         let awaits_judgement = |at_ms| at_ms + JUDGEMENT_WAIT_MS > self.now_ms();
         if self.quarantine_entry(job).is_some()
--- a/src/gateway/traffic/signals.rs
+++ b/src/gateway/traffic/signals.rs
@@ -106,8 +106,8 @@
     }
 
     /// Whether a request may be sent to an upstream now; if so, the caller of this function has to
-    /// send it. An upstream with a rate limit that grants no permit is throttled until this
-    /// instance's turn.
+    /// send it. An upstream with a rate limit is throttled if this instance gets no permit: for the
+    /// time that the owner of its bucket names, or `UNANSWERED_THROTTLE_MS` if the owner is silent.
     pub async fn try_admit(&self, worker: &Worker) -> bool {
         if worker.is_throttled(self.now_ms()) {
             return false;
