--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -91,7 +91,7 @@
     events: u64,
 }
 
-/// A crash of an engine during the run that may not be judged yet.
+/// A crash of an engine during the run whose judgement may be pending.
 #[derive(Debug, Clone, Copy)]
 struct UnjudgedCrash {
     at_ms: u64,
@@ -147,7 +147,7 @@
     engine_lost_ms: Option<u64>,
     /// How far the run has come at its current engine.
     progress: Progress,
-    /// Crashes during the run that may not be judged yet.
+    /// Crashes during the run whose judgement may be pending.
     unjudged_crashes: Vec<UnjudgedCrash>,
     /// The last event before the latest crash. Some events later, the crashes are cleared.
     last_crash_event: Option<u64>,
--- a/src/gateway/stream/copy.rs
+++ b/src/gateway/stream/copy.rs
@@ -92,8 +92,8 @@
         (self.is_eligible(&chosen) && has_room()).then_some(chosen)
     }
 
-    /// Whether the copy at an engine is still usable, also at a suspected engine, since a probe
-    /// costs less than a new copy.
+    /// Whether the copy at an engine is still usable. It stays so while the engine's failure domain
+    /// is suspected, since a probe costs less than a new copy.
     pub(super) fn is_copy_usable(&self, worker: &Worker) -> bool {
         let now_ms = self.traffic.now_ms();
         self.traffic.takes_work(&worker.upstream.id) && !self.traffic.is_lost(worker, now_ms)
--- a/src/gateway/traffic.rs
+++ b/src/gateway/traffic.rs
@@ -343,13 +343,9 @@
                 candidate.load.kept_tokens = cached_tokens;
             }
         }
-        let unreported_requests = self.unreported_requests(&view, service, constraints.need);
-        let index = placement::choose(
-            &candidates,
-            constraints,
-            unreported_requests,
-            &mut fastrand::Rng::new(),
-        );
+        let unseen_requests = self.unseen_requests(&view, service, constraints.need);
+        let index =
+            placement::choose(&candidates, constraints, unseen_requests, &mut fastrand::Rng::new());
         if index.is_none_or(|index| candidates[index].is_suspect) && view.large.contains(service) {
             self.shared.signal(Signal::NoUpstreamLeft);
         }
--- a/src/gateway/traffic/budgets.rs
+++ b/src/gateway/traffic/budgets.rs
@@ -37,7 +37,7 @@
     /// their load updates, estimated from their reports for the budget window. Retries don't count,
     /// since most of them go to the engine with the run's copy; nor do calls without a prompt,
     /// which end before any update could arrive.
-    pub(super) fn unreported_requests(&self, view: &View, service: &str, need: Need) -> f64 {
+    pub(super) fn unseen_requests(&self, view: &View, service: &str, need: Need) -> f64 {
         let sent = view.sent.get(service).filter(|_| need.prompt_tokens > 0);
         let window_ms = self.settings.repeat_window_ms.max(1);
         sent.map_or(0.0, |sent| sent.requests as f64) * loads::DIGEST_INTERVAL_MS as f64
