--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -367,9 +367,9 @@
     /// a little later one of their runs has ended. Returns false if the caller has disconnected or
     /// the deadline has passed.
     async fn wait_to_retry(&mut self) -> bool {
-        let pause_ms = self.retry_delay_ms;
-        self.retry_delay_ms = (pause_ms * 2).min(MAX_RETRY_DELAY_MS);
-        if self.wait(pause_ms).await {
+        let delay_ms = self.retry_delay_ms;
+        self.retry_delay_ms = (delay_ms * 2).min(MAX_RETRY_DELAY_MS);
+        if self.wait(delay_ms).await {
             return true;
         }
         self.give_up(self.deadline_failure());
@@ -422,7 +422,7 @@
 
     /// The hash of the prompt's last part, which is the request's own.
     fn own_prefix(&self) -> Option<u64> {
-        self.job.demand.prompt_parts.last().map(|prefix| prefix.hash)
+        self.job.demand.prompt_parts.last().map(|part| part.hash)
     }
 
     /// What the run needs of an engine.
@@ -442,8 +442,8 @@
             }
             failure => failure,
         };
-        let after_ms = self.traffic.retry_after_ms(&self.job, &failure);
-        let answer = self.traffic.refuse(&self.job, &failure, after_ms);
+        let retry_after_ms = self.traffic.retry_after_ms(&self.job, &failure);
+        let answer = self.traffic.refuse(&self.job, &failure, retry_after_ms);
         if let Some(body_tx) = self.body_tx.take() {
             // Without the last chunk, the response can't be mistaken for a complete one.
             tokio::task::spawn_local(async move {
--- a/src/gateway/stream/attempt.rs
+++ b/src/gateway/stream/attempt.rs
@@ -243,10 +243,10 @@
         if matches!(liveness, Liveness::Lost) {
             return Some(lost_run("silent, and its liveness probe failed", LossCause::Silent));
         }
-        let sighting = liveness.sighting(self.job.id());
-        let verdict = silence.judge(sighting, probed_ms);
+        let run_status = liveness.run_status(self.job.id());
+        let verdict = silence.judge(run_status, probed_ms);
         slog::info!(self.traffic.log, "silent run checked"; "request" => self.job.id(),
-            "upstream" => &*worker.upstream.id, "sighting" => ?sighting, "verdict" => ?verdict,
+            "upstream" => &*worker.upstream.id, "sighting" => ?run_status, "verdict" => ?verdict,
             "told" => %liveness, "reading" => self.traffic.prefills_at(worker),
             "after" => self.last_event, "quiet_ms" => probed_ms - self.last_event_ms);
         match verdict {
@@ -360,11 +360,11 @@
     fn start_body(&mut self, response: Response<Incoming>) -> Incoming {
         let (head, body) = response.into_parts();
         if self.body_tx.is_none() {
-            let (parts, growing) = mpsc::channel(MAX_BUFFERED_EVENTS);
-            let mut kept: HeaderMap = headers::end_to_end(head.headers);
-            kept.remove(CONTENT_LENGTH);
-            self.body_tx = Some(parts);
-            self.respond(answer::streaming(head.status.as_u16(), kept, growing));
+            let (body_tx, body_rx) = mpsc::channel(MAX_BUFFERED_EVENTS);
+            let mut headers: HeaderMap = headers::end_to_end(head.headers);
+            headers.remove(CONTENT_LENGTH);
+            self.body_tx = Some(body_tx);
+            self.respond(answer::streaming(head.status.as_u16(), headers, body_rx));
         }
         body
     }
--- a/src/gateway/stream/relay.rs
+++ b/src/gateway/stream/relay.rs
@@ -178,7 +178,7 @@
             return SilenceCheck::Wait;
         }
         let since_first_ms = probed_ms.saturating_sub(times.first_ms);
-        if silence::is_preempted(liveness.sighting(self.job.id()), since_first_ms) {
+        if silence::is_preempted(liveness.run_status(self.job.id()), since_first_ms) {
             return self.hand_over(worker, "engine preempted the run").await;
         }
         let timeouts = self.silence_timeouts();
--- a/src/gateway/traffic/losses.rs
+++ b/src/gateway/traffic/losses.rs
@@ -55,7 +55,7 @@
     }
 
     /// What the engine reports about a run.
-    pub fn sighting(&self, id: &str) -> RunStatus {
+    pub fn run_status(&self, id: &str) -> RunStatus {
         let Liveness::Alive(state) = self else { return RunStatus::Untold };
         let Some(runs) = &state.runs else { return RunStatus::Untold };
         match runs.iter().find(|run| *run.id == *id) {
--- a/src/gateway/traffic/places.rs
+++ b/src/gateway/traffic/places.rs
@@ -62,10 +62,10 @@
         }
     }
 
-    /// Removes the cache locations for which `is_over` holds.
-    pub(super) fn forget_cache_locations(&self, is_expired: impl Fn(&CacheLocation) -> bool) {
+    /// Removes the cache locations for which `is_obsolete` holds.
+    pub(super) fn forget_cache_locations(&self, is_obsolete: impl Fn(&CacheLocation) -> bool) {
         self.cache_locations.borrow_mut().retain(|_, locations| {
-            locations.retain(|location| !is_expired(location));
+            locations.retain(|location| !is_obsolete(location));
             !locations.is_empty()
         });
     }
