--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -91,7 +91,7 @@
     events: u64,
 }
 
-/// A crash of an engine during the run that may not be judged yet.
+/// A crash of an engine during the run whose judgement may be pending.
 #[derive(Debug, Clone, Copy)]
 struct UnjudgedCrash {
     at_ms: u64,
@@ -138,7 +138,7 @@
     body_tx: Option<mpsc::Sender<BodyChunk>>,
     /// The id of the last event that the caller has.
     last_event: Option<u64>,
-    /// When the latest event arrived; before the first one, when the run started.
+    /// When the latest event arrived; before the first one, when this run was created.
     last_event_ms: u64,
     /// How long after the request the first event arrived.
     first_event_ms: Option<u64>,
@@ -147,7 +147,7 @@
     engine_lost_ms: Option<u64>,
     /// How far the run has come at its current engine.
     progress: Progress,
-    /// Crashes during the run that may not be judged yet.
+    /// Crashes during the run whose judgement may be pending.
     unjudged_crashes: Vec<UnjudgedCrash>,
     /// The last event before the latest crash. Some events later, the crashes are cleared.
     last_crash_event: Option<u64>,
@@ -367,9 +367,9 @@
     /// a little later one of their runs has ended. Returns false if the caller has disconnected or
     /// the deadline has passed.
     async fn wait_to_retry(&mut self) -> bool {
-        let pause_ms = self.retry_delay_ms;
-        self.retry_delay_ms = (pause_ms * 2).min(MAX_RETRY_DELAY_MS);
-        if self.wait(pause_ms).await {
+        let delay_ms = self.retry_delay_ms;
+        self.retry_delay_ms = (delay_ms * 2).min(MAX_RETRY_DELAY_MS);
+        if self.wait(delay_ms).await {
             return true;
         }
         self.give_up(self.deadline_failure());
@@ -422,7 +422,7 @@
 
     /// The hash of the prompt's last part, which is the request's own.
     fn own_prefix(&self) -> Option<u64> {
-        self.job.demand.prompt_parts.last().map(|prefix| prefix.hash)
+        self.job.demand.prompt_parts.last().map(|part| part.hash)
     }
 
     /// What the run needs of an engine.
@@ -442,8 +442,8 @@
             }
             failure => failure,
         };
-        let after_ms = self.traffic.retry_after_ms(&self.job, &failure);
-        let answer = self.traffic.refuse(&self.job, &failure, after_ms);
+        let retry_after_ms = self.traffic.retry_after_ms(&self.job, &failure);
+        let answer = self.traffic.refuse(&self.job, &failure, retry_after_ms);
         if let Some(body_tx) = self.body_tx.take() {
             // Without the last chunk, the response can't be mistaken for a complete one.
             tokio::task::spawn_local(async move {
--- a/src/gateway/traffic/losses.rs
+++ b/src/gateway/traffic/losses.rs
@@ -55,7 +55,7 @@
     }
 
     /// What the engine reports about a run.
-    pub fn sighting(&self, id: &str) -> RunStatus {
+    pub fn run_status(&self, id: &str) -> RunStatus {
         let Liveness::Alive(state) = self else { return RunStatus::Untold };
         let Some(runs) = &state.runs else { return RunStatus::Untold };
         match runs.iter().find(|run| *run.id == *id) {
@@ -208,7 +208,7 @@
     }
 
     /// Marks an upstream as replaced because another incarnation has its address. However long the
-    /// directory still lists it, it receives nothing more and peers are told that it is lost.
+    /// directory still lists it, it receives nothing more and is reported to peers as lost.
     pub fn mark_replaced(&self, worker: &Worker) {
         worker.replace();
         self.mark_lost(worker, "another upstream has its address");
