--- a/src/gateway/channel.rs
+++ b/src/gateway/channel.rs
@@ -27,8 +27,8 @@
 const TCP_USER_TIMEOUT_MS: u64 = 800;
 /// The interval of keepalive probes on an idle connection, the shortest that the kernel accepts.
 const KEEPALIVE_INTERVAL_S: u64 = 1;
-/// The read buffer of a connection. Response heads are short, and hyper's default limit is over
-/// 400 KB per connection.
+/// Maximum size of the read buffer of a connection. Response heads are short, and hyper's default is
+/// over 400 KB per connection.
 const MAX_READ_BUFFER_BYTES: usize = 32 << 10;
 
 /// Why a channel could not be opened, or a request on it got no answer.
--- a/src/gateway/front.rs
+++ b/src/gateway/front.rs
@@ -99,11 +99,11 @@
     if *traffic.shared.is_configured.borrow() || !Mechanism::KeptAtStart.is_on() {
         return;
     }
-    let kept_ms = outages::startup_hold_ms(demand.deadline_ms.unwrap_or(DEFAULT_DEADLINE_MS));
+    let hold_ms = outages::startup_hold_ms(demand.deadline_ms.unwrap_or(DEFAULT_DEADLINE_MS));
     let mut is_configured = traffic.shared.is_configured.subscribe();
     let configured = is_configured.wait_for(|is_configured| *is_configured);
     // If none arrives in time, `read_request` refuses the request.
-    let _ = tokio::time::timeout(Duration::from_millis(kept_ms), configured).await;
+    let _ = tokio::time::timeout(Duration::from_millis(hold_ms), configured).await;
 }
 
 /// Finds the route of a request, checks its key and reads its body.
--- a/src/gateway/membership/rumors.rs
+++ b/src/gateway/membership/rumors.rs
@@ -136,7 +136,7 @@
     }
 }
 
-/// Number of rounds until a rumor has reached all instances if each instance sends it to [`GOSSIP_FANOUT`]
+/// Number of rounds until a rumor has reached all instances if each sends it to [`GOSSIP_FANOUT`]
 /// others per round, and one more round for lost messages.
 fn rounds_for(instances: usize) -> u32 {
     let mut reached = 1;
