--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -420,8 +420,8 @@
         return Outcome::Unknown { detail: "the answer is not signed".to_owned() };
     }
     worker.ended(whole.status >= 500, now_ms);
-    // These statuses promise a caller that nothing ran, so they are passed on only if the upstream's
-    // answer has the header that says so.
+    // These statuses promise a caller that nothing ran. Only the upstream's not-run header can say
+    // that, and this answer lacks it.
     if matches!(whole.status, 408 | 429 | 503) {
         return Outcome::Unknown {
             detail: format!("status {} without the not-run header", whole.status),
--- a/src/gateway/loads/mod.rs
+++ b/src/gateway/loads/mod.rs
@@ -3,8 +3,8 @@
 //! Instances of the same failure domain that place requests receive the sender's load at once. Other
 //! failure domains receive a digest of the whole domain a few times a second: its instances take
 //! turns in sending it to one instance of each other domain, which forwards it there. So neither the
-//! messages of one instance nor the traffic between domains grow with the fleet. Applying a message
-//! takes time in proportion to its length. See [docs/DESIGN.md](../../../docs/DESIGN.md).
+//! messages of one instance nor the traffic between domains grow with the fleet. The time to apply a
+//! message depends on its own length. See [docs/DESIGN.md](../../../docs/DESIGN.md).
 
 mod cache_locations;
 mod local_traffic;
--- a/src/gateway/loads/peer_loads.rs
+++ b/src/gateway/loads/peer_loads.rs
@@ -339,7 +339,7 @@
     }
 }
 
-/// Replaces one instance's load at an upstream within a total.
+/// Replaces the load of one instance or failure domain at an upstream within a total.
 fn replace_load(
     totals: &mut BTreeMap<Arc<str>, UpstreamLoad>,
     before: Option<&UpstreamLoad>,
--- a/src/gateway/membership/members.rs
+++ b/src/gateway/membership/members.rs
@@ -137,7 +137,7 @@
     }
 
     /// Updates what this instance publishes about itself, and announces it to all others if it
-    /// changed. A change of `versions` alone is sent only with the next pings.
+    /// changed. A change of `versions` alone is not announced; probes carry it.
     pub fn update_self(
         &mut self,
         phase: Phase,
@@ -320,7 +320,7 @@
         self.mark_changed(&id);
     }
 
-    /// Refutes a rumor that this instance is suspect or dead, or that comes from a previous
+    /// Refutes a rumor that this instance is suspect or dead, or that describes a previous
     /// incarnation under its id.
     fn refute(&mut self, descriptor: &InstanceDescriptor, state: MemberState) {
         let is_other_incarnation = descriptor.registration.incarnation != self.me().incarnation;
@@ -519,8 +519,8 @@
     }
 }
 
-/// Stands for the reporter of a rumor where it does not matter, which is always except for a
-/// suspicion; an id would take a fifth of the message.
+/// An empty reporter: who reports that an instance is alive or dead does not matter, and the id would
+/// take a fifth of the message.
 fn no_reporter() -> Arc<str> {
     Arc::from("")
 }
--- a/src/gateway/membership/members/probing.rs
+++ b/src/gateway/membership/members/probing.rs
@@ -234,7 +234,7 @@
         self.outbox.push((from, Message::Ack(answer)));
     }
 
-    /// Handles the answer to a ping, or forwards it if the ping was sent for another instance.
+    /// Handles the answer to a ping, and forwards it if the ping was sent for another instance.
     pub fn handle_ack(&mut self, ack: Probe, now_ms: u64) {
         if let Some((asker, number)) = self.relayed_pings.remove(&ack.number) {
             self.outbox.push((asker, Message::Ack(Probe { number, ..ack.clone() })));
--- a/src/gateway/membership/message.rs
+++ b/src/gateway/membership/message.rs
@@ -39,7 +39,7 @@
     Loads(LoadUpdate),
     /// The load of all instances of a failure domain at upstreams, for another domain.
     Digest(Digest),
-    /// Changes to the list of upstreams, and the newest configuration version.
+    /// Changes to the list of upstreams, and the sender's configuration version.
     Changes(Changes),
     /// Asks an instance that holds all upstreams for changes to the list.
     AskChanges(ChangesQuery),
