--- a/tests/gateway/calls.rs
+++ b/tests/gateway/calls.rs
@@ -90,7 +90,7 @@
 #[tokio::test]
 async fn an_upstream_replaced_at_its_address_gets_no_more_requests() {
     let running = support::start(1).await;
-    // The registry still lists earlier processes at the addresses of two of the three upstreams.
+    // The directory still lists earlier processes at the addresses of two of the three upstreams.
     for index in [0, 1] {
         let service = &running.site.services[index];
         let entry = site::server_entry("booking-app", "ranong-hall", "ready", service.addr);
--- a/tests/gateway/connections.rs
+++ b/tests/gateway/connections.rs
@@ -23,7 +23,8 @@
 
 /// Guards against an answer with 502 and `"ran":"unknown"` for a request whose body was incomplete when
 /// the stop answered the remaining requests. It had not been sent to any upstream, and after such an
-/// answer a caller can't repeat a booking.
+/// answer a caller can't repeat a booking. Only a request that was handed to an upstream has an unknown
+/// outcome.
 #[tokio::test]
 async fn a_stop_refuses_an_incomplete_request_as_not_run() {
     let running = support::start(1).await;
--- a/tests/gateway/loads.rs
+++ b/tests/gateway/loads.rs
@@ -168,7 +168,7 @@
     let more = LocalTraffic { sent: repeats(2), ..now };
     assert!(
         reported.take_changes(more).is_none(),
-        "a change of the sent requests alone is not reported"
+        "a change of the sent requests alone waits for the next complete update"
     );
 }
 
--- a/tests/gateway/patience.rs
+++ b/tests/gateway/patience.rs
@@ -35,8 +35,8 @@
     RunStatus::Listed { tokens, events }
 }
 
-/// A run that was sent or last heard at 1,000, its observations (what the state said, and when it
-/// was requested), and the verdict on the last one.
+/// A run that was sent or had its last event at 1,000 ms, its observations (what the state said, and
+/// when it was requested), and the verdict on the last one.
 #[parameterized(
     state_is_older_than_the_run = { &[(RunStatus::Missing, 1_400)], Verdict::Wait },
     gone = { &[(RunStatus::Missing, 1_900)], Verdict::Leave(LeaveReason::Gone) },
@@ -189,9 +189,9 @@
     assert!(placement::superseded([].iter()).is_empty());
 }
 
-/// Guards against refused streams after an engine that was rediscovered during an outage of the
-/// directory crashed again: its entry replaced the next incarnation, which the directory had listed
-/// since.
+/// Guards against refused streams. An engine that was rediscovered during an outage of the directory
+/// crashed again, and its entry replaced that of its next incarnation, which the directory had listed
+/// since: all streams sent to it were refused.
 #[test]
 fn a_rediscovered_engine_yields_to_a_later_entry() {
     let mut fleet = Fleet::default();
--- a/tests/gateway/permits.rs
+++ b/tests/gateway/permits.rs
@@ -255,7 +255,7 @@
     assert!(instances[0].note(&advertised(6.0, 0), 1_000));
     assert!(
         !instances[0].note(&advertised(6.0, 0), 2_000),
-        "an unchanged rate is new again after ten seconds"
+        "an unchanged rate is new again only after ten seconds"
     );
     for now_ms in (1_000..60_000).step_by(100) {
         let from = (now_ms / 100) as usize % 3;
--- a/tests/gateway/rate_limit.rs
+++ b/tests/gateway/rate_limit.rs
@@ -71,8 +71,8 @@
     );
 }
 
-/// Calls beyond the rates of all upstreams are refused at once and not executed, and the rates are
-/// used up.
+/// Calls beyond the rates of all upstreams are refused at once and not executed, and at least 60 % of
+/// the rates is used.
 #[parameterized(one_instance = { 1 }, nine_instances = { 9 })]
 #[test_macro(tokio::test)]
 async fn calls_beyond_the_rates_of_all_upstreams_are_refused_at_once(instances: u8) {
@@ -213,8 +213,8 @@
     assert!(taken * 6 > got.len(), "{taken} of {} calls went to one of three services", got.len());
 }
 
-/// The upstream sends the responses of other requests, none of which can be passed on. An instance
-/// that had just started therefore never learned of the rate, and sent without a limit.
+/// Guards against an instance that has just started and sends without a limit. It never learned of
+/// the rate, since the upstream sent the responses of other requests, none of which could be passed on.
 #[tokio::test]
 async fn a_rate_is_heard_of_in_answers_that_belong_to_other_requests() {
     let running = support::start(1).await;
--- a/tests/gateway/silence.rs
+++ b/tests/gateway/silence.rs
@@ -83,9 +83,9 @@
     assert!(pause_ms < 600, "{pause_ms}");
 }
 
-/// Guards against runs that leave a live engine because its state takes longer than 130 ms to
-/// arrive. While most engines were leaving, such runs went to engines that were as full, and their
-/// answers were truncated.
+/// Guards against runs that leave a full but live engine because its state takes longer than 130 ms
+/// to arrive. While most engines were leaving, such runs went to engines that were just as full, and
+/// their answers were truncated.
 #[tokio::test]
 async fn a_run_without_a_copy_stays_when_the_engine_state_is_late() {
     let site = Site::start(1, 450).await;
--- a/tests/gateway/suspicion.rs
+++ b/tests/gateway/suspicion.rs
@@ -162,7 +162,8 @@
     assert!(is_quarantined(first, poison));
 }
 
-/// A request that waited at an engine which another request crashed counts for less.
+/// A crash counts half as much against a request that only waited at the engine, since another
+/// request may have caused it.
 #[test]
 fn a_waiting_request_needs_twice_as_many_crashes() {
     let mut known = Quarantine::default();
