--- a/tests/gateway/stops.rs
+++ b/tests/gateway/stops.rs
@@ -1,4 +1,4 @@
-//! Planned stops, to the last moment of the process.
+//! Planned stops, until the process has ended.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,69 +16,73 @@
 
 use crate::support::{self, Running, call, plan};
 
-/// How long callers may keep an address that they were told: the stop ends after that at the earliest.
-const KEEP: Duration = Duration::from_millis(2_000);
+/// How long callers may use an address that they resolved; a planned stop takes at least that long.
+const ADDRESS_TTL: Duration = Duration::from_millis(2_000);
 
-/// What a caller heard.
+/// What a caller received.
 #[derive(Debug, PartialEq, Eq)]
-enum Heard {
+enum Outcome {
     Answer(u16),
-    Nothing,
+    NoAnswer,
 }
 
-/// Sends a call on a connection of its own, if one comes about.
-async fn send(front: SocketAddr, sent: &Call) -> Heard {
+/// Sends a call on a new connection; without a connection there is no answer.
+async fn send(front: SocketAddr, sent: &Call) -> Outcome {
     match caller::send(front, sent).await {
-        Ok(answer) => Heard::Answer(answer.status()),
-        Err(_) => Heard::Nothing,
+        Ok(answer) => Outcome::Answer(answer.status()),
+        Err(_) => Outcome::NoAnswer,
     }
 }
 
-/// Callers saw a connection closed without an answer although their call had run to a good end,
-/// 28 ms after the instance had logged that all requests of a planned stop had ended.
+/// Guards against calls that run but are not answered: a connection was closed although its call had
+/// run successfully, 28 ms after the instance had logged that all requests of a planned stop had ended.
 ///
-/// The order of events: the stop looked at the count of open requests, found none, told the
-/// connections to close, and ended the thread after a fixed 25 ms. A call on a new connection that
-/// came in between was accepted, read, sent to its service, and dropped with the thread.
+/// The stop had found no open requests, had told the connections to close, and ended the thread after
+/// a fixed 25 ms. A call that came in between on a new connection was accepted, read, sent to its
+/// service, and dropped with the thread.
 ///
-/// Evidence: the instance's `requests ended` at 3.643 s, the service's run from 3.655 to 3.670 s,
-/// the connection's end at 3.671 s; in runs of this test `traffic ended` with `cut` 1, 25 ms after
-/// `requests ended` with `cut` 0, and the call `unanswered` as the first of its connection.
+/// The logs had the instance's `requests ended` at 3.643 s, the service's run from 3.655 to 3.670 s,
+/// and the connection's end at 3.671 s. Runs of this test had `traffic ended` with `cut` 1, 25 ms
+/// after `requests ended` with `cut` 0, and the call `unanswered` as the first of its connection.
 ///
-/// Here six calls of 25 ms begin every 40 ms: a look that finds none open is followed by calls that
-/// begin within 15 ms and can't end in what is left of the 25. (A new connection was read or closed
-/// unread by chance, which six at a time make certain enough.)
+/// Six calls of 25 ms start every 40 ms here. When the stop finds no open request, the next calls
+/// start within 15 ms and can't end in what is left of the 25 ms. (Whether a new connection is read
+/// or closed unread is chance; with six at a time, one of them is almost certainly read.)
 #[tokio::test]
 async fn a_call_that_comes_as_the_stop_ends_is_answered() {
-    const BEATS: u32 = 40;
+    const BATCHES: u32 = 40;
     const CALLS: u32 = 6;
-    const EVERY: Duration = Duration::from_millis(40);
+    const INTERVAL: Duration = Duration::from_millis(40);
     let mut running = support::start(1).await;
     running.site.services.iter().for_each(|service| service.work_for(25));
     let front = running.front(0);
-    let start = Instant::now() + KEEP - Duration::from_millis(200);
+    let start = Instant::now() + ADDRESS_TTL - Duration::from_millis(200);
     running.gateways[0].signal(libc::SIGTERM);
     let mut calls = JoinSet::new();
-    for number in 0..BEATS * CALLS {
+    for number in 0..BATCHES * CALLS {
         calls.spawn(async move {
-            tokio::time::sleep_until(start + number / CALLS * EVERY).await;
+            tokio::time::sleep_until(start + number / CALLS * INTERVAL).await;
             let sent = call("POST", "/book/a");
-            let heard = send(front, &sent).await;
-            (sent.id, heard)
+            let outcome = send(front, &sent).await;
+            (sent.id, outcome)
         });
     }
-    let heard = calls.join_all().await;
+    let outcomes = calls.join_all().await;
     wait_for("the process has ended", async || running.gateways[0].has_ended()).await;
     let log = running.gateways[0].logged();
     let ran = |id: &str| running.runs_of(id) > 0;
-    let lost = heard.iter().filter(|(id, heard)| *heard == Heard::Nothing && ran(id)).count();
-    assert!(heard.iter().any(|(_, heard)| *heard == Heard::Answer(200)), "some were served");
+    let lost =
+        outcomes.iter().filter(|(id, outcome)| *outcome == Outcome::NoAnswer && ran(id)).count();
+    assert!(
+        outcomes.iter().any(|(_, outcome)| *outcome == Outcome::Answer(200)),
+        "some were served"
+    );
     assert_eq!(lost, 0, "calls ran and were not answered; the log:\n{log}");
 }
 
-/// Stops an instance beside a stream that does not end, so that it lives for as long as a planned
-/// stop may take. Returns when the order was given.
-async fn stop_beside_a_stream(running: &Running) -> Instant {
+/// Stops an instance that has a stream which does not end, so that the stop takes as long as it may.
+/// Returns the time of the stop signal.
+async fn stop_with_an_endless_stream(running: &Running) -> Instant {
     let engines = &running.site.engines;
     engines.iter().for_each(|engine| engine.read_for(20_000));
     let _reading = running.read_stream(&plan());
@@ -88,9 +92,9 @@
     start
 }
 
-/// A caller had half of its head written on a kept connection when the stop closed what was idle:
-/// hyper counts a kept connection as idle until the head is whole, and closed it with the bytes in
-/// its buffer. Seen with the order of 2.0 s: the rest of the head at 2.3 s met a closed connection.
+/// Guards against closing a kept-alive connection on which half of a head has arrived. hyper takes such
+/// a connection for idle until the head is complete, and closed it with the bytes in its buffer when
+/// the stop closed idle connections at 2.0 s: the rest of the head, sent at 2.3 s, found it closed.
 #[tokio::test]
 async fn a_head_that_began_before_the_end_is_answered() {
     let mut running = support::start(1).await;
@@ -98,7 +102,7 @@
     kept.write(&call("POST", "/book/a").encode()).await.unwrap();
     assert_eq!(kept.read_answer().await.unwrap().status(), 200);
     running.gateways[0].signal(libc::SIGTERM);
-    tokio::time::sleep(KEEP - Duration::from_millis(100)).await;
+    tokio::time::sleep(ADDRESS_TTL - Duration::from_millis(100)).await;
     let bytes = Call { deadline_ms: 500, ..call("POST", "/book/a") }.encode();
     let (begun, rest) = bytes.split_at(bytes.len() / 3);
     kept.write(begun).await.unwrap();
@@ -110,9 +114,9 @@
     wait_for("the process has ended", async || running.gateways[0].has_ended()).await;
 }
 
-/// A caller that reads slowly got the first part of an answer, then a reset: a request stopped
-/// counting when its answer was handed to the connection, and the process ended with most of it
-/// unwritten.
+/// Guards against a truncated answer to a caller that reads slowly: it received the first part, then a
+/// reset. A request no longer counted as open once its answer was handed to the connection, and the
+/// process ended with most of it unwritten.
 #[tokio::test]
 async fn an_answer_that_its_caller_takes_slowly_comes_whole() {
     const ANSWER_BYTES: usize = 6 << 20;
@@ -124,49 +128,52 @@
     let mut slow = Connection::new(stream);
     running.gateways[0].signal(libc::SIGTERM);
     slow.write(&call("POST", "/book/a").encode()).await.unwrap();
-    tokio::time::sleep(KEEP + Duration::from_millis(300)).await;
+    tokio::time::sleep(ADDRESS_TTL + Duration::from_millis(300)).await;
     let answer = slow.read_answer().await.expect("the whole answer comes");
     assert!(answer.body.len() > ANSWER_BYTES);
 }
 
-/// An instance was killed in the middle of its stop, with all that was open: the time of the stop
-/// began only when the store had answered that the registration is gone, a second after the order.
+/// Guards against an instance that is killed in the middle of its stop, with all open requests: the
+/// time of the stop was counted only from the store's answer that the registration is gone, a second
+/// after the signal.
 #[tokio::test]
 async fn the_time_of_a_stop_runs_from_its_order() {
     let mut running = support::start(1).await;
     running.site.store.fail(store::Fault::Silent);
-    let start = stop_beside_a_stream(&running).await;
+    let start = stop_with_an_endless_stream(&running).await;
     wait_for("the process has ended", async || running.gateways[0].has_ended()).await;
     let taken = start.elapsed();
     assert!(taken < GRACE, "it would have been killed; it took {taken:?}");
     assert!(running.gateways[0].logged().contains("requests ended"));
 }
 
-/// A call was taken three seconds after the order, could not end before the process did, and was
-/// cut: its caller could not know whether it had run. Refused at once, it runs elsewhere.
+/// Guards against a call that is accepted three seconds after the stop signal and can't end before the
+/// process does: its connection was closed, and its caller could not know whether it had run. If it is
+/// refused at once, it runs elsewhere.
 #[tokio::test]
 async fn a_call_whose_time_does_not_fit_is_refused() {
     let running = support::start(1).await;
-    let start = stop_beside_a_stream(&running).await;
+    let start = stop_with_an_endless_stream(&running).await;
     running.site.services.iter().for_each(|service| service.fail(service::Fault::Mute));
     tokio::time::sleep_until(start + Duration::from_millis(3_000)).await;
     let sent = call("POST", "/book/a");
-    assert_eq!(send(running.front(0), &sent).await, Heard::Answer(503));
+    assert_eq!(send(running.front(0), &sent).await, Outcome::Answer(503));
     assert_eq!(running.runs_of(&sent.id), 0);
 }
 
-/// A plan that waited for its first event when the stop ended saw its connection closed. It may
-/// have run, which only an answer can tell.
+/// Guards against a connection that is closed without an answer when the stop ends while its request
+/// waits for the first event. The request may have run, and only an answer can say so.
 #[tokio::test]
 async fn a_request_without_an_answer_gets_one_before_the_end() {
     let running = support::start(1).await;
     running.site.engines.iter().for_each(|engine| engine.read_for(20_000));
     running.gateways[0].signal(libc::SIGTERM);
-    assert_eq!(send(running.front(0), &plan()).await, Heard::Answer(502));
+    assert_eq!(send(running.front(0), &plan()).await, Outcome::Answer(502));
 }
 
-/// The store listed an instance that was gone for half a minute: its registration was under way when
-/// the stop removed what it held by then, which was nothing.
+/// Guards against a registration that stays in the store for half a minute after its instance has
+/// ended: it was in flight when the stop removed the registrations made so far, of which there were
+/// none.
 #[tokio::test]
 async fn a_registration_under_way_is_removed_by_a_stop() {
     let mut running = support::start(2).await;
@@ -179,8 +186,8 @@
     assert!(!registered.iter().any(|key| key.ends_with("edge-2")), "{registered:?}");
 }
 
-/// A stop waited for the listener, which went on trying to take in a caller for whom the process had
-/// no descriptor left, and would have been killed with all that was open.
+/// Guards against a stop that waits for the listener and would be killed with all open requests: the
+/// listener kept trying to accept a connection for which the process had no file descriptor left.
 #[tokio::test]
 async fn a_stop_ends_though_no_descriptor_is_left() {
     let mut running = support::start(1).await;
