--- a/bench/src/lab/model.rs
+++ b/bench/src/lab/model.rs
@@ -584,9 +584,9 @@
         let late = LateRequest { since_ms: run.back_ms as u64, until_ms: run.until_ms as u64 };
         let known = self.known();
         let reads = |at: &&usize| self.seen(run.instance, **at).reading > 0;
-        let load =
+        let activity =
             EngineActivity { engines: known.len(), reading: known.iter().filter(reads).count() };
-        if late.may_send(load, self.now_ms as u64) {
+        if late.may_send(activity, self.now_ms as u64) {
             return self.place(index);
         }
         let at_ms = self.now_ms + self.choices.u64(..admission::MAX_RECHECK_DELAY_MS) as f64;
@@ -646,10 +646,10 @@
 
     fn lose_run(&mut self, index: usize, engine: usize, is_dark: bool) {
         let streams = &self.experiment.streams;
-        let patience =
+        let timeouts =
             SilenceTimeouts::of(*streams.objective_ms.get_ref(), *streams.gap_ms.get_ref());
         let is_running = self.runs[index].first_ms.is_some();
-        let quiet_ms = if is_running { patience.gap_ms } else { patience.first_event_ms };
+        let quiet_ms = if is_running { timeouts.gap_ms } else { timeouts.first_event_ms };
         let seen_ms = if is_dark { quiet_ms as f64 + STATE_MS } else { RESET_MS };
         self.hold(index, engine, |held| held.runs -= 1);
         let lost_domain = Arc::clone(&self.engines[engine].domain);
--- a/tests/gateway/duties.rs
+++ b/tests/gateway/duties.rs
@@ -98,7 +98,7 @@
         // No two writes have the same nonce or lease.
         let nonce = now_ms * 10 + instance as u64;
         match self.leases[instance].next_action(0, nonce, now_ms) {
-            Some(Action::Acquire { nonce }) => self.take(instance, nonce, outcome),
+            Some(Action::Acquire { nonce }) => self.acquire(instance, nonce, outcome),
             Some(Action::ReadBack) if matches!(outcome, CallOutcome::Done) => {
                 let holder = self.holder();
                 self.leases[instance].note_read(holder.as_ref(), now_ms);
@@ -108,7 +108,7 @@
         }
     }
 
-    fn take(&mut self, instance: usize, nonce: u64, outcome: CallOutcome) {
+    fn acquire(&mut self, instance: usize, nonce: u64, outcome: CallOutcome) {
         let now_ms = self.now_ms;
         let write = DelayedWrite { instance, nonce, lease: nonce, until_ms: now_ms + TTL_STEPS };
         let attempt = AcquireAttempt { nonce, lease: nonce, requested_ms: now_ms };
--- a/tests/gateway/patience.rs
+++ b/tests/gateway/patience.rs
@@ -293,9 +293,13 @@
     time_leaps_back = { EngineActivity { engines: 100, reading: 100 }, 0, false },
     time_leaps_forward = { EngineActivity { engines: 100, reading: 100 }, u64::MAX, true },
 )]
-fn late_requests_wait_while_engines_are_busy(load: EngineActivity, now_ms: u64, may_send: bool) {
+fn late_requests_wait_while_engines_are_busy(
+    activity: EngineActivity,
+    now_ms: u64,
+    may_send: bool,
+) {
     let late = LateRequest { since_ms: 1_000, until_ms: 25_000 };
-    assert_eq!(late.may_send(load, now_ms), may_send);
+    assert_eq!(late.may_send(activity, now_ms), may_send);
 }
 
 #[test]
--- a/tests/gateway/suspicion.rs
+++ b/tests/gateway/suspicion.rs
@@ -59,8 +59,8 @@
 
 /// Sends everything that one instance would report to another.
 fn send_reports(from: &mut Quarantine, to: &mut Quarantine, now_ms: u64) {
-    for report in from.next_sync_batch(now_ms) {
-        to.merge_record(report, now_ms);
+    for record in from.next_sync_batch(now_ms) {
+        to.merge_record(record, now_ms);
     }
 }
 
@@ -144,15 +144,15 @@
     const INSTANCES: usize = 14;
     let mut instances: Vec<Quarantine> = (0..INSTANCES).map(|_| Quarantine::default()).collect();
     let poison = request("poison");
-    let mut ends = Vec::new();
+    let mut early_crashes = Vec::new();
     for (number, instance) in instances.iter_mut().enumerate() {
         instance.note_crash(crash(poison, number, Stage::Begun, 1_000));
-        ends.extend(instance.take_early_crashes());
+        early_crashes.extend(instance.take_early_crashes());
     }
     let all = engines();
     for instance in &mut instances {
-        for end in &ends {
-            instance.note_early_crash(&all[&end.upstream], end.fingerprint, 1_100);
+        for early in &early_crashes {
+            instance.note_early_crash(&all[&early.upstream], early.fingerprint, 1_100);
         }
         let judged = instance.judge_pending(&all, 1_000 + JUDGEMENT_DELAY_MS);
         assert_eq!(judged[0].1, Judgement::Counted);
@@ -251,13 +251,13 @@
     for round in 0..500 {
         let now_ms = 2_000 + 350 * round;
         // Each message takes 100 ms.
-        let report = here.next_sync_batch(now_ms);
-        for report in report {
-            there.merge_record(report, now_ms + 100);
+        let batch = here.next_sync_batch(now_ms);
+        for record in batch {
+            there.merge_record(record, now_ms + 100);
         }
-        let report = there.next_sync_batch(now_ms + 200);
-        for report in report {
-            here.merge_record(report, now_ms + 300);
+        let batch = there.next_sync_batch(now_ms + 200);
+        for record in batch {
+            here.merge_record(record, now_ms + 300);
         }
     }
     assert_eq!(here.suspects()[&poison].until_ms, Some(until_ms));
@@ -300,8 +300,8 @@
     }
     assert!(known.suspects().len() <= MAX_RECORDS);
     assert!(is_quarantined(&known, poison));
-    let report = known.next_sync_batch(4_000_000);
-    assert!(report.len() <= 16 && rmp_serde::to_vec(&report).unwrap().len() < 4_096);
+    let batch = known.next_sync_batch(4_000_000);
+    assert!(batch.len() <= 16 && rmp_serde::to_vec(&batch).unwrap().len() < 4_096);
 }
 
 /// A fingerprint is parsed back from its text unchanged.
--- a/tests/gateway/watchers.rs
+++ b/tests/gateway/watchers.rs
@@ -26,9 +26,9 @@
 #[test]
 fn the_next_in_rank_watches_for_one_that_is_rejected() {
     let all = ids(9);
-    let watching = |first_hand: &[String]| -> Vec<String> {
+    let watching = |readers: &[String]| -> Vec<String> {
         let watches =
-            |id: &&String| WatchPosition::of(rank(id, 10), others(first_hand, id)).is_watcher();
+            |id: &&String| WatchPosition::of(rank(id, 10), others(readers, id)).is_watcher();
         all.iter().filter(watches).cloned().collect()
     };
     let before = watching(&all);
