--- a/src/gateway/control/directory.rs
+++ b/src/gateway/control/directory.rs
@@ -335,7 +335,7 @@
     }
 
     fn log_unusable(&self, id: &str, detail: &str) {
-        slog::warn!(self.log, "ignoring an unusable upstream entry"; "upstream" => id,
+        slog::warn!(self.log, "unusable upstream entry; removing its upstream"; "upstream" => id,
             "detail" => detail);
     }
 
--- a/tests/gateway/silence.rs
+++ b/tests/gateway/silence.rs
@@ -326,7 +326,7 @@
     store.put("servers/nobody", &serde_json::json!({"address": 7, "backend": ["x"]}));
     wait_for("both entries are rejected", async || {
         let logged = running.gateways[0].logged();
-        logged.matches("ignoring an unusable upstream entry").count() >= 2
+        logged.matches("unusable upstream entry; removing its upstream").count() >= 2
     })
     .await;
     let before = service.seen().len();
