--- a/src/gateway/control/quarantine.rs
+++ b/src/gateway/control/quarantine.rs
@@ -123,7 +123,7 @@
                 match control.directory.remember(&record, QUARANTINE_MS).await {
                     Ok(()) => return,
                     Err(fault) => {
-                        slog::info!(control.log, "could not store the quarantine record; retrying";
+                        slog::info!(control.log, "could not store the quarantine record";
                         "fingerprint" => %fingerprint, "why" => %fault)
                     }
                 }
