--- a/src/gateway/crash.rs
+++ b/src/gateway/crash.rs
@@ -51,7 +51,7 @@
     pub epoch: u64,
     /// The upstreams that ended under it, with its stage at each.
     pub crashes: Vec<(Arc<str>, Stage)>,
-    /// Highest event delivered to the caller before any of the crashes.
+    /// Highest of the last events that were delivered to the caller before each crash.
     pub event: u64,
     /// Remaining time of the quarantine; `None` if the request isn't quarantined.
     pub left_ms: Option<u64>,
--- a/src/gateway/policy/budget.rs
+++ b/src/gateway/policy/budget.rs
@@ -1,9 +1,9 @@
 //! Budget for the repeats of a service over a sliding window, shared by all instances.
 //!
-//! A repeat is any attempt at a request after its first one. All instances together may send a
-//! service a fixed ratio of repeats to requests, plus a fixed slack. Instances report to each other
-//! what they sent. These reports arrive late, and after a crash all instances repeat at the same
-//! moment, so each instance is also limited to a few times its own share.
+//! A repeat is a request that is really sent again, after its first attempt. All instances together
+//! may send a service a fixed ratio of repeats to requests, plus a fixed slack. Instances report to
+//! each other what they sent. These reports arrive late, and after a crash all instances repeat at
+//! the same moment, so each instance is also limited to a few times its own share.
 
 use std::collections::VecDeque;
 
--- a/src/gateway/policy/losses.rs
+++ b/src/gateway/policy/losses.rs
@@ -36,7 +36,7 @@
     pub service: &'a str,
     /// Its failure domain.
     pub domain: &'a str,
-    /// When it last showed a sign of life.
+    /// When it was last known to be alive.
     pub alive_ms: u64,
 }
 
@@ -68,13 +68,13 @@
         own.map(|(id, _)| Arc::clone(id)).collect()
     }
 
-    /// Whether an upstream was lost after its last sign of life.
+    /// Whether an upstream was lost since it was last known to be alive.
     pub fn is_lost(&self, upstream: QueriedUpstream<'_>) -> bool {
         self.known.get(upstream.id).is_some_and(|loss| loss.at_ms >= upstream.alive_ms)
     }
 
-    /// Whether so many upstreams of the same service and failure domain were lost within a short
-    /// time, and since this one's last sign of life, that it is probably lost too.
+    /// Whether so many upstreams of the same service and failure domain were lost a moment ago,
+    /// and since this one was last known to be alive, that it is probably lost too.
     pub fn has_correlated_losses(&self, upstream: QueriedUpstream<'_>, now_ms: u64) -> bool {
         let casts_suspicion = |loss: &&Loss| {
             *loss.domain == *upstream.domain
--- a/src/gateway/policy/outages.rs
+++ b/src/gateway/policy/outages.rs
@@ -1,7 +1,8 @@
 //! Durations of outages in which a service had no upstream, and the retry times that callers are
 //! given.
 //!
-//! Callers retry only once or a few times, so a retry time that ends before the upstreams are back
+//! A refused caller loses the whole retry time that it is given, even if the upstreams are back
+//! earlier. It retries only once or a few times, so a retry time that ends before they are back
 //! loses the request. When all upstreams of a service fail together, the cause is larger than what
 //! makes a single one fail, so only earlier outages of the whole service indicate how long this one
 //! may last.
@@ -107,7 +108,7 @@
         known.down_since_ms.get_or_insert(began_ms);
     }
 
-    /// Records when an upstream of a service showed a sign of life, which ends an outage that began
+    /// Records when an upstream of a service was known to be alive, which ends an outage that began
     /// before.
     pub fn note_alive(&mut self, service: &str, alive_ms: u64) {
         let Some(known) = self.services.get_mut(service) else {
--- a/src/gateway/policy/quarantine.rs
+++ b/src/gateway/policy/quarantine.rs
@@ -87,7 +87,7 @@
     epoch: u64,
     /// Stage of each crash, by upstream.
     crashes: BTreeMap<Arc<str>, Stage>,
-    /// Highest event delivered to the caller before any of the crashes.
+    /// Highest of the last events that were delivered to the caller before each crash.
     event: u64,
     until_ms: Option<u64>,
     changed_ms: u64,
--- a/src/gateway/policy/scaling.rs
+++ b/src/gateway/policy/scaling.rs
@@ -13,8 +13,8 @@
 
 use super::super::route::Scaling;
 
-/// Target utilization of the workers: it leaves room for the loss of one of four failure domains,
-/// and for a copy of each run's KV cache at a second worker.
+/// Target utilization of the workers: one of four failure domains may be lost, and each run has a
+/// copy of its KV cache at a second worker.
 const TARGET_UTILIZATION: f64 = 0.45;
 /// Fewer workers are ordered only if demand needs less than this fraction of the total, so that a
 /// dip changes nothing.
--- a/src/gateway/policy/silence.rs
+++ b/src/gateway/policy/silence.rs
@@ -65,7 +65,8 @@
     pub stalled_ms: u64,
     /// The same while the engine is reading prompts: it makes progress, and events are late from
     /// all engines alike. This is the whole pause: with a shorter one, 120 runs were taken from
-    /// engines that read half as fast as usual, and the benefit fell by a third.
+    /// engines that read half as fast as usual, and worth, the score in docs/POLICY.md, fell by a
+    /// third.
     pub stalled_reading_ms: u64,
 }
 
@@ -96,7 +97,7 @@
 /// What an engine's state says of one run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RunStatus {
-    /// The state lists no runs.
+    /// There is no state, or it has no list of runs.
     Untold,
     /// The run is not listed, but some requests have produced no event yet, and this may be one of
     /// them: a run is listed from its first event on.
