--- a/src/gateway/fingerprint.rs
+++ b/src/gateway/fingerprint.rs
@@ -50,8 +50,8 @@
         ];
         let mut hash = Sha256::new();
         for part in parts {
-            // Without the length, bytes could move from the end of one part to the beginning of the
-            // next.
+            // Without the length, two requests that split the same bytes into parts differently
+            // would have the same hash.
             hash.update((part.len() as u64).to_be_bytes());
             hash.update(part);
         }
--- a/src/gateway/policy/active.rs
+++ b/src/gateway/policy/active.rs
@@ -7,8 +7,8 @@
 
 use super::watchers::{self, Rank};
 
-/// Upper bound on the instances of a failure domain that callers are sent to: the number that an
-/// answer to a request for addresses names.
+/// Upper bound on the instances of a failure domain that callers are sent to, and so on the
+/// addresses of the domain that a caller is given.
 const MAX_ACTIVE_INSTANCES: usize = 64;
 
 /// Selects the instances that callers are sent to, from those of one failure domain that accept
--- a/src/gateway/policy/placement.rs
+++ b/src/gateway/policy/placement.rs
@@ -102,11 +102,7 @@
 
 fn cost(candidate: &Candidate, constraints: &Constraints) -> f64 {
     let mut cost = candidate.load.cost(constraints.need) + FAILURE_COST * candidate.failure_rate;
-    if constraints
-        .preferred_domain
-        .as_ref()
-        .is_some_and(|preferred_domain| *preferred_domain != candidate.domain)
-    {
+    if constraints.preferred_domain.as_ref().is_some_and(|domain| *domain != candidate.domain) {
         cost += CROSS_DOMAIN_COST;
     }
     if constraints.avoided_domains.contains(&candidate.domain) {
--- a/src/gateway/policy/rate_limit.rs
+++ b/src/gateway/policy/rate_limit.rs
@@ -21,7 +21,7 @@
 /// How long the lowest rate known to requesters takes precedence: some have not received a lower
 /// rate yet.
 const LOWEST_RATE_KEPT_MS: u64 = 1_000;
-/// Maximum wait in an answer: the limit may change meanwhile.
+/// Maximum wait in an answer: the limit may change while the requester waits.
 const MAX_WAIT_MS: u64 = 2_000;
 /// How long a bucket is kept after the last request.
 const IDLE_BUCKET_KEPT_MS: u64 = 60_000;
--- a/src/gateway/policy/rediscovered.rs
+++ b/src/gateway/policy/rediscovered.rs
@@ -11,8 +11,8 @@
 use super::super::fleet::Upstream;
 
 /// How long rediscovered engines are kept after the directory answers again. Upstreams whose
-/// entries lapsed meanwhile are listed again within two seconds; any that is still missing then
-/// counts as gone.
+/// entries lapsed during the outage are listed again within two seconds; any that is still missing
+/// then counts as gone.
 const RETENTION_MS: u64 = 1_900;
 
 /// Rediscovered upstreams that the directory does not list yet.
--- a/src/gateway/policy/silence.rs
+++ b/src/gateway/policy/silence.rs
@@ -20,7 +20,7 @@
 /// engine's state does not tell whether a prompt that it holds is being read, so only other
 /// requests give an estimate.
 const OVERDUE_FACTOR: f64 = 2.0;
-/// Upper bound on how often the time is doubled.
+/// Upper bound on how often earlier attempts double the time until a first event is overdue.
 const MAX_DOUBLINGS: u32 = 6;
 /// Percentile of the first events that the estimate is based on.
 const FIRST_EVENT_PERCENTILE: f64 = 0.95;
--- a/src/gateway/policy/subset.rs
+++ b/src/gateway/policy/subset.rs
@@ -1,12 +1,12 @@
 //! Selects which upstreams each instance holds, for services that have too many upstreams for every
 //! instance to hold all of them. Pure functions.
 //!
-//! A hash of the instance's and the upstream's names decides, so that whoever knows all upstreams
-//! knows who holds which, without asking and without a table. Subsets are nested: an instance that
-//! needs more halves its share one time less and keeps what it has. Published subsetting algorithms
-//! (Beyer et al.: "Site Reliability Engineering", O'Reilly 2016, chapter 20) deal out upstreams in
-//! rounds, which requires numbered instances; a hash doesn't, and moves nothing when other
-//! instances come or go. See [docs/design/whole-fleet.md](../../../docs/design/whole-fleet.md).
+//! A hash of the instance's and the upstream's names decides, so that an instance that knows all
+//! upstreams knows which others hold them, without asking and without a table. Subsets are nested:
+//! an instance that needs more halves its share one time less and keeps what it has. Published
+//! subsetting algorithms (Beyer et al.: "Site Reliability Engineering", O'Reilly 2016, chapter 20)
+//! deal out upstreams in rounds, which requires numbered instances; a hash doesn't, and moves
+//! nothing when other instances come or go. See [docs/design/whole-fleet.md](../../../docs/design/whole-fleet.md).
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
