--- a/bench/src/lab/model.rs
+++ b/bench/src/lab/model.rs
@@ -461,7 +461,7 @@
                 reserved_tokens: (held[*at].runs + held[*at].copies) as u64 * need.memory_tokens(),
                 memory_tokens: Some(*self.experiment.engines.memory_tokens.get_ref()),
                 slots: Some(*self.experiment.engines.slots.get_ref() as u32),
-                kept_tokens: 0,
+                cached_tokens: 0,
             },
             failure_rate: 0.0,
             is_suspect: false,
--- a/src/gateway/control.rs
+++ b/src/gateway/control.rs
@@ -39,9 +39,9 @@
 use super::membership::{MemberState, Membership, Phase, Versions};
 use super::metrics::Metrics;
 use super::policy::active;
+use super::policy::advertised_rates::AdvertisedRates;
 use super::policy::departures::Departures;
 use super::policy::lease::{DutyLease, Holder};
-use super::policy::named_rates::AdvertisedRates;
 use super::policy::quarantine::Quarantine;
 use super::policy::rate_limit::Limiter;
 use super::policy::rediscovered::Rediscovered;
@@ -388,7 +388,7 @@
             lost: Arc::new(state.lost.keys().cloned().collect()),
             places: state.loads.cache_locations(),
             quarantine,
-            named_rates: state.advertised_rates.clone(),
+            advertised_rates: state.advertised_rates.clone(),
             departures: state.departures.clone(),
         };
         drop(before);
--- a/src/gateway/policy/engine.rs
+++ b/src/gateway/policy/engine.rs
@@ -51,7 +51,7 @@
     /// Tokens of memory that its requests and copies will occupy when they end.
     pub reserved_tokens: u64,
     /// Tokens of the prompt to be placed that it has cached.
-    pub kept_tokens: u64,
+    pub cached_tokens: u64,
     /// Size of its memory in tokens, if configured.
     pub memory_tokens: Option<u64>,
     /// Number of requests that it runs at once, if configured.
@@ -90,7 +90,7 @@
         if need.prompt_tokens == 0 {
             return 0.0;
         }
-        let cached_fraction = self.kept_tokens as f64 / need.prompt_tokens as f64;
+        let cached_fraction = self.cached_tokens as f64 / need.prompt_tokens as f64;
         cached_fraction.min(1.0 - MIN_READ_FRACTION) * (1.0 + self.runs)
     }
 
@@ -109,8 +109,8 @@
         let Some(memory_tokens) = self.memory_tokens.filter(|tokens| *tokens > 0) else {
             return 0.0;
         };
-        let kept_tokens = self.kept_tokens.min(need.prompt_tokens);
-        let used_tokens = need.memory_tokens().saturating_add(self.reserved_tokens) - kept_tokens;
+        let cached_tokens = self.cached_tokens.min(need.prompt_tokens);
+        let used_tokens = need.memory_tokens().saturating_add(self.reserved_tokens) - cached_tokens;
         used_tokens as f64 / memory_tokens as f64
     }
 }
--- a/src/gateway/policy/mod.rs
+++ b/src/gateway/policy/mod.rs
@@ -6,6 +6,7 @@
 
 pub mod active;
 pub mod admission;
+pub mod advertised_rates;
 pub mod budget;
 pub mod cache_lookup;
 pub mod coincidence;
@@ -15,7 +16,6 @@
 pub mod latency;
 pub mod lease;
 pub mod losses;
-pub mod named_rates;
 pub mod outages;
 pub mod placement;
 pub mod quarantine;
--- a/src/gateway/traffic.rs
+++ b/src/gateway/traffic.rs
@@ -340,7 +340,7 @@
         for (id, cached_tokens) in self.cached_tokens(prompt, &view) {
             let known = candidates.iter_mut().find(|candidate| candidate.id == id);
             if let Some(candidate) = known {
-                candidate.load.kept_tokens = cached_tokens;
+                candidate.load.cached_tokens = cached_tokens;
             }
         }
         let unreported_requests = self.unreported_requests(&view, service, constraints.need);
@@ -489,7 +489,7 @@
             copies: f64::from(copies),
             pending_tokens: worker.pending_tokens.get() + pending_tokens,
             reserved_tokens: worker.reserved_tokens.get() + reserved_tokens,
-            kept_tokens: 0,
+            cached_tokens: 0,
             memory_tokens: engine.and_then(|engine| engine.memory_tokens),
             slots: engine.and_then(|engine| engine.slots),
         };
--- a/src/gateway/traffic/signals.rs
+++ b/src/gateway/traffic/signals.rs
@@ -99,7 +99,7 @@
 
     /// The upstream's rate limit over all instances, as it or a peer last reported.
     fn rate_limit(&self, worker: &Worker) -> Option<Rate> {
-        if let Some(advertised) = self.shared.view.load().named_rates.of(&worker.upstream.id) {
+        if let Some(advertised) = self.shared.view.load().advertised_rates.of(&worker.upstream.id) {
             self.set_rate_limit(worker, Some(advertised.rate), advertised.at_ms, "a peer");
         }
         worker.rate_limit()
--- a/src/gateway/view.rs
+++ b/src/gateway/view.rs
@@ -13,8 +13,8 @@
 use super::fleet::{Departure, Fleet};
 use super::loads::{CacheLocations, LocalTraffic, SentRequests, UpstreamLoad};
 use super::membership::Phase;
+use super::policy::advertised_rates::AdvertisedRates;
 use super::policy::departures::Departures;
-use super::policy::named_rates::AdvertisedRates;
 use super::policy::quarantine::Suspects;
 use super::policy::subset::Share;
 use super::rate::{Permit, Rate};
@@ -50,7 +50,7 @@
     /// Requests that crashed upstreams, and whether they are quarantined.
     pub quarantine: Arc<Suspects>,
     /// The rates that upstreams named to any instance.
-    pub named_rates: AdvertisedRates,
+    pub advertised_rates: AdvertisedRates,
     /// Upstreams that said to any instance that they leave.
     pub departures: Departures,
 }
@@ -174,7 +174,7 @@
             sent: Arc::default(),
             places: CacheLocations::default(),
             quarantine: Arc::default(),
-            named_rates: AdvertisedRates::default(),
+            advertised_rates: AdvertisedRates::default(),
             departures: Departures::default(),
         };
         let view = ArcSwap::from_pointee(view);
--- a/tests/gateway/engine.rs
+++ b/tests/gateway/engine.rs
@@ -31,11 +31,11 @@
 fn a_cached_prefix_is_weighed_against_the_queue() {
     let need = Need { prompt_tokens: 18_000, output_tokens: 1_000 };
     let idle = load(0.0, 0, 0);
-    let keeps = |pending_tokens| Load { kept_tokens: 13_000, ..load(0.0, pending_tokens, 0) };
+    let keeps = |pending_tokens| Load { cached_tokens: 13_000, ..load(0.0, pending_tokens, 0) };
     assert!(keeps(0).cost(need) < idle.cost(need));
     assert!(keeps(5_000).cost(need) < idle.cost(need));
     assert!(keeps(40_000).cost(need) > idle.cost(need), "reading it again elsewhere is faster");
-    assert!(Load { kept_tokens: u64::MAX, ..idle }.cost(need).is_finite());
+    assert!(Load { cached_tokens: u64::MAX, ..idle }.cost(need).is_finite());
 }
 
 /// Invalid input must not reverse a choice: no prompt, no configured memory, or absurdly large
--- a/tests/gateway/permits.rs
+++ b/tests/gateway/permits.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-use siskinrock::gateway::policy::named_rates::AdvertisedRates;
+use siskinrock::gateway::policy::advertised_rates::AdvertisedRates;
 use siskinrock::gateway::policy::rate_limit::{self, Limiter, Liveness};
 use siskinrock::gateway::rate::{AdvertisedRate, Permit, Rate};
 use yare::parameterized;
