--- a/src/gateway/policy/silence.rs
+++ b/src/gateway/policy/silence.rs
@@ -98,7 +98,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RunStatus {
     /// There is no state, or it has no list of runs.
-    NotReported,
+    Untold,
     /// The run is not listed, but some requests have produced no event yet, and this may be one of
     /// them: a run is listed from its first event on.
     MayWait,
@@ -144,7 +144,7 @@
     Overdue,
     /// The run is listed but makes no progress.
     #[display("the run makes no progress")]
-    Stalled,
+    Standing,
 }
 
 /// What was observed of a run since it last sent something.
@@ -180,7 +180,7 @@
             return Verdict::Wait;
         }
         match status {
-            RunStatus::NotReported | RunStatus::MayWait => self.judge_unlisted(asked_ms),
+            RunStatus::Untold | RunStatus::MayWait => self.judge_unlisted(asked_ms),
             RunStatus::Missing => Verdict::Leave(LeaveReason::Gone),
             RunStatus::Listed { tokens, events } => self.judge_listed(tokens, events, asked_ms),
         }
@@ -208,6 +208,6 @@
             return Verdict::Wait;
         }
         let is_stalled = asked_ms >= before.at_ms + PROGRESS_TIMEOUT_MS;
-        if is_stalled { Verdict::Leave(LeaveReason::Stalled) } else { Verdict::Wait }
+        if is_stalled { Verdict::Leave(LeaveReason::Standing) } else { Verdict::Wait }
     }
 }
--- a/src/gateway/traffic/losses.rs
+++ b/src/gateway/traffic/losses.rs
@@ -56,8 +56,8 @@
 
     /// What the engine reports about a run.
     pub fn sighting(&self, id: &str) -> RunStatus {
-        let Liveness::Alive(state) = self else { return RunStatus::NotReported };
-        let Some(runs) = &state.runs else { return RunStatus::NotReported };
+        let Liveness::Alive(state) = self else { return RunStatus::Untold };
+        let Some(runs) = &state.runs else { return RunStatus::Untold };
         match runs.iter().find(|run| *run.id == *id) {
             Some(run) => RunStatus::Listed { tokens: run.tokens, events: run.events },
             None if state.unstarted() > 0 => RunStatus::MayWait,
--- a/tests/gateway/patience.rs
+++ b/tests/gateway/patience.rs
@@ -42,10 +42,10 @@
     gone = { &[(RunStatus::Missing, 1_900)], Verdict::Leave(LeaveReason::Gone) },
     may_wait = { &[(RunStatus::MayWait, 1_900), (RunStatus::MayWait, 2_800)], Verdict::Wait },
     overdue = { &[(RunStatus::MayWait, 1_900), (RunStatus::MayWait, 9_000)], Verdict::Leave(LeaveReason::Overdue) },
-    not_reported = { &[(RunStatus::NotReported, 1_900)], Verdict::Wait },
+    not_reported = { &[(RunStatus::Untold, 1_900)], Verdict::Wait },
     reading = { &[(listed(100, 0), 1_900), (listed(900, 0), 2_800)], Verdict::Wait },
     answer_lost = { &[(listed(900, 3), 1_900), (listed(910, 4), 2_100)], Verdict::Leave(LeaveReason::AnswerLost) },
-    stalled = { &[(listed(900, 3), 1_900), (listed(900, 3), 3_500)], Verdict::Leave(LeaveReason::Stalled) },
+    stalled = { &[(listed(900, 3), 1_900), (listed(900, 3), 3_500)], Verdict::Leave(LeaveReason::Standing) },
     not_stalled_yet = { &[(listed(900, 3), 1_900), (listed(900, 3), 2_800)], Verdict::Wait },
     fewer_events = { &[(listed(900, 3), 1_900), (listed(910, 1), 2_800)], Verdict::Wait },
     time_goes_back = { &[(listed(900, 3), 3_500), (listed(900, 3), 200)], Verdict::Wait },
@@ -67,7 +67,7 @@
     recent = { RunStatus::MayWait, 300, false },
     preempted = { RunStatus::MayWait, 500, true },
     runs = { listed(900, 3), 900, false },
-    not_reported = { RunStatus::NotReported, 900, false },
+    not_reported = { RunStatus::Untold, 900, false },
     gone = { RunStatus::Missing, 900, false },
 )]
 fn a_run_that_is_no_longer_listed_was_preempted(status: RunStatus, age_ms: u64, expected: bool) {
